--- a/features/steps/agent_answer_steps.py
+++ b/features/steps/agent_answer_steps.py
@@ -14,7 +14,7 @@
 from limelever.agent.group_table import GroupTable
 from limelever.agent.interface import AttemptAnswered, AttemptFailed, StartAttempt
 from limelever.agent.settings import BackendSettings
-from limelever.agent.wait_estimate import WaitEstimate
+from limelever.agent.wait_estimator import WaitEstimator
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.http_headers import HeaderNames
 from limelever.common.sansio import Address
@@ -134,7 +134,7 @@
 )
 def given_queue(context, usual, waiting):
     context.groups = GroupTable(1, 32)
-    context.estimate = WaitEstimate(SLOTS, context.groups)
+    context.estimate = WaitEstimator(SLOTS, context.groups)
     context.waiting = waiting
     common = context.groups.open("common", 0.0)
     context.usual = usual / 1000.0
@@ -155,7 +155,7 @@
         context.estimate.observe("common", context.usual)
     call = QueuedCall(99, "asked", deadline / 1000.0, 0, 0.0, target / 1000.0)
     wait = context.estimate.wait(group, 0.0)
-    refused = context.estimate.is_too_long(group, call, 0.0, wait)
+    refused = context.estimate.exceeds_wait_limit(group, call, 0.0, wait)
     assert refused is (fate == "refused"), wait
 
 
@@ -204,7 +204,7 @@
     "calls of {short:d} ms on one route and of {long:d} ms on another, {part:d} of 100 on the first"
 )
 def given_mixed_calls(context, short, long, part):
-    context.estimate = WaitEstimate(SLOTS, GroupTable(1, 32))
+    context.estimate = WaitEstimator(SLOTS, GroupTable(1, 32))
     taken = 0.0
     for _ in range(300):
         taken += part / 100
@@ -221,7 +221,9 @@
 def then_short_taken(context, service, wait, target, deadline):
     group = GroupQueue("short", 1)
     call = QueuedCall(1, "short", deadline / 1000, 0, 0.0, target / 1000)
-    assert not context.estimate.is_too_long(group, call, 0.0, wait / 1000), context.estimate.typical
+    assert not context.estimate.exceeds_wait_limit(group, call, 0.0, wait / 1000), (
+        context.estimate.time_weighted
+    )
 
 
 class UrgentLoad:
@@ -256,9 +258,9 @@
             if millisecond % less_every_ms == 0:
                 self.offer(self.less, less_ms, target, now)
             while (started := self.queue.start_next(now)) is not None:
-                self.running.append((now + self.service[started.call] / 1000.0, started.call))
-                if started.call in self.arrived:
-                    self.waits.append(now - self.arrived[started.call])
+                self.running.append((now + self.service[started.number] / 1000.0, started.number))
+                if started.number in self.arrived:
+                    self.waits.append(now - self.arrived[started.number])
 
 
 @given(
--- a/features/steps/agent_queue_steps.py
+++ b/features/steps/agent_queue_steps.py
@@ -18,7 +18,7 @@
 
 from limelever.agent.fair_queue import FairQueue, QueueLimits
 from limelever.agent.group_queue import QueuedCall
-from limelever.agent.wait_estimate import FIRST_CHARGE
+from limelever.agent.wait_estimator import INITIAL_CHARGE_SECONDS
 from limelever.common.errors import Failure, Outcome
 from limelever.protocol.priorities import priority_group
 
@@ -53,7 +53,7 @@
     def start(self, duration: dict[str, float]) -> None:
         while (call := self.queue.start_next(self.now)) is not None:
             taken = duration[call.group]
-            heapq.heappush(self.busy, (self.now + taken, call.call, call.group, taken))
+            heapq.heappush(self.busy, (self.now + taken, call.number, call.group, taken))
             self.starts.append(call.group)
 
     def finish_one(self) -> str:
@@ -77,7 +77,7 @@
             for _ in range(20):
                 course.offer(group)
         course.start(duration)
-        longest = max(FIRST_CHARGE, *duration.values())
+        longest = max(INITIAL_CHARGE_SECONDS, *duration.values())
         for _ in range(400):
             course.offer(course.finish_one())
             course.start(duration)
@@ -235,7 +235,7 @@
     assert context.queue.offer(call, context.now) == ()
     started = context.queue.start_next(context.now)
     assert started is not None
-    assert started.call == number, started
+    assert started.number == number, started
 
 
 @when("no urgent call runs and the waiting long calls are started")
--- a/features/steps/prior_wait_steps.py
+++ b/features/steps/prior_wait_steps.py
@@ -8,7 +8,7 @@
 
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
-from limelever.agent.wait_estimate import WaitEstimate
+from limelever.agent.wait_estimator import WaitEstimator
 from limelever.proxy.prior_waits import PriorWaits
 
 ROUTE = "reads"
@@ -70,14 +70,14 @@
 def given_wait(context, service, wait):
     groups = GroupTable(1, 32)
     context.group = GroupQueue(ROUTE, 1)
-    context.estimate = WaitEstimate(6, groups)
+    context.estimate = WaitEstimator(6, groups)
     context.estimate.observe(ROUTE, service / 1000)
     context.wait = wait / 1000
 
 
 def is_refused(context, target):
     call = QueuedCall(1, ROUTE, 2.0, 0, 0.0, target)
-    return context.estimate.is_too_long(context.group, call, 0.0, context.wait)
+    return context.estimate.exceeds_wait_limit(context.group, call, 0.0, context.wait)
 
 
 @then("a call whose target is {target:d} ms away is taken")
--- a/features/steps/tenant_turns_steps.py
+++ b/features/steps/tenant_turns_steps.py
@@ -17,7 +17,7 @@
 from limelever.agent.fair_queue import FairQueue, QueueLimits
 from limelever.agent.group_queue import QueuedCall
 from limelever.agent.interface import AttemptAnswered, StartAttempt
-from limelever.agent.tenant_turns import TenantRates, TenantTurns
+from limelever.agent.tenant_scheduler import TenantRates, TenantScheduler
 from limelever.common.errors import Failure
 from limelever.common.sansio import Output
 from limelever.protocol.config_pb2 import (
@@ -61,11 +61,11 @@
         return self.queue.offer(call, self.now)
 
     def start(self, work: float) -> None:
-        self.queue.take_expired(self.now)
-        self.queue.take_hopeless(self.now)
+        self.queue.pop_expired(self.now)
+        self.queue.pop_infeasible(self.now)
         while (call := self.queue.start_next(self.now)) is not None:
-            self.started.append(call.call)
-            heapq.heappush(self.running, (self.now + work, call.call, work))
+            self.started.append(call.number)
+            heapq.heappush(self.running, (self.now + work, call.number, work))
 
     def finish_one(self) -> None:
         self.now, call, _ = heapq.heappop(self.running)
@@ -131,14 +131,14 @@
         named = {f"t{index}": rate for index, rate in enumerate(drawn)}
         known = TenantRates()
         known.replace(named)
-        turns = TenantTurns(known)
+        scheduler = TenantScheduler(known)
         tenant_of = dict(enumerate(list(named) * (starts + 1)))
         for call, tenant in tenant_of.items():
-            turns.add(call, tenant)
+            scheduler.add(call, tenant)
         served: Counter[str] = Counter()
         for _ in range(starts):
-            call = turns.next_call
-            turns.served(call, tenant_of[call])
+            call = scheduler.next_call
+            scheduler.mark_started(call, tenant_of[call])
             served[tenant_of[call]] += 1
         for name, rate in named.items():
             for other, other_rate in named.items():
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -255,8 +255,8 @@
         self._queue.finish(call.number, now, representative=False)
         failure = answers.attempt_failure(event)
         if failure.kind is ErrorKind.BACKEND_REFUSED:
-            advice = self._queue.advice_of_turned_away(call.start.group, now)
-            failure = replace(failure, retry_after=advice)
+            retry_after = self._queue.retry_after_backend_refusal(call.start.group, now)
+            failure = replace(failure, retry_after=retry_after)
         if self.backend.failed(event, failure, call, now):
             return self.start_waiting(now)
         return [*self._end(call, failure), *self.start_waiting(now)]
@@ -275,7 +275,7 @@
     def expire(self, now: float) -> list[Output]:
         """Refuse the calls whose deadline passed while they waited, and drop late answers."""
         assembling = [call.number for call in self._intake.expired(now)]
-        outputs = self._refuse_late([*self._queue.take_expired(now), *assembling])
+        outputs = self._refuse_late([*self._queue.pop_expired(now), *assembling])
         if self._answers.count:
             outputs.extend(self._answers.expire(now, self._replies.load))
         return outputs
@@ -323,15 +323,15 @@
         self._replies.now = now
         outputs = self.expire(now)
         outputs.extend(self.backend.take_check(now))
-        outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
+        outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         while not self.backend.undecided and (queued := self._queue.start_next(now)) is not None:
-            call = self._calls.by_number(queued.call)
+            call = self._calls.by_number(queued.number)
             assert call is not None
             call.started_at = now
             service_time = self._queue.service_time_of(queued.group)
             self.backend.started(call.number, service_time, now)
             outputs.append(call.begin(now))
-            outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
+            outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         return outputs
 
     def _ended(self, seen: Seen) -> list[Output]:
@@ -372,12 +372,14 @@
         return outputs
 
     def _with_advice(self, failure: Failure, call: Call) -> Failure:
-        return replace(failure, retry_after=self._queue.advice(call.start.group, self._replies.now))
+        return replace(
+            failure, retry_after=self._queue.retry_after(call.start.group, self._replies.now)
+        )
 
     def _admit(self, call: Call, now: float) -> list[Output]:
         self._intake.close(call)
         asked_for = call.start.awaits_credit
-        offered = self._queue.offer(call.queued(now), now, checked=asked_for)
+        offered = self._queue.offer(call.queued(now), now, prechecked=asked_for)
         if isinstance(offered, Failure):
             self._forget(call)
             return self._replies.failed(call.connection, call.start, offered)
--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -56,7 +56,7 @@
     def queued(self, now: float) -> QueuedCall:
         """Return the call as it waits for a slot from now on."""
         return QueuedCall(
-            call=self.number,
+            number=self.number,
             group=self.start.group,
             deadline=self.deadline,
             size=len(self.body),
--- a/src/limelever/agent/deadlines.py
+++ b/src/limelever/agent/deadline_heap.py
@@ -1,17 +1,17 @@
-"""A heap of deadlines that members may leave early."""
+"""A heap of deadlines that supports removal of members."""
 
 from __future__ import annotations
 
 import heapq
 
-_COMPACT_FROM = 64
+_COMPACTION_SLACK = 64
 
 
 class DeadlineHeap:
-    """Deadlines by number, in monotonic seconds.
+    """Deadlines by member number, in monotonic seconds.
 
-    A removed member leaves its heap entry behind; the heap is rebuilt when such entries
-    outnumber the members, so memory stays within twice the members.
+    Removing a member leaves a stale heap entry behind. The heap is rebuilt when stale entries
+    outnumber the members, which bounds its memory.
     """
 
     def __init__(self) -> None:
@@ -24,28 +24,28 @@
         heapq.heappush(self._heap, (deadline, number))
 
     def remove(self, number: int) -> None:
-        """Take a member out; unknown numbers are ignored."""
+        """Remove a member; unknown numbers are ignored."""
         self._deadline_of.pop(number, None)
-        if len(self._heap) > 2 * len(self._deadline_of) + _COMPACT_FROM:
+        if len(self._heap) > 2 * len(self._deadline_of) + _COMPACTION_SLACK:
             self._heap = [(deadline, item) for item, deadline in self._deadline_of.items()]
             heapq.heapify(self._heap)
 
     def earliest(self) -> float | None:
-        """Return the earliest deadline of a member."""
-        self._drop_removed()
+        """Return the earliest deadline of a member, or ``None`` if there is none."""
+        self._discard_stale_entries()
         return self._heap[0][0] if self._heap else None
 
-    def expired(self, now: float) -> tuple[int, ...]:
-        """Take out the members whose deadline is not after ``now``."""
-        expired: list[int] = []
-        self._drop_removed()
+    def pop_expired(self, now: float) -> tuple[int, ...]:
+        """Remove and return the members whose deadline is not after ``now``."""
+        pop_expired: list[int] = []
+        self._discard_stale_entries()
         while self._heap and self._heap[0][0] <= now:
             _, number = heapq.heappop(self._heap)
             del self._deadline_of[number]
-            expired.append(number)
-            self._drop_removed()
-        return tuple(expired)
+            pop_expired.append(number)
+            self._discard_stale_entries()
+        return tuple(pop_expired)
 
-    def _drop_removed(self) -> None:
+    def _discard_stale_entries(self) -> None:
         while self._heap and self._heap[0][1] not in self._deadline_of:
             heapq.heappop(self._heap)
--- a/src/limelever/agent/fair_queue.py
+++ b/src/limelever/agent/fair_queue.py
@@ -1,11 +1,12 @@
-"""Weighted fair queueing of a back end's slots between groups.
-
-Start-time fair queueing: each group has a tag in virtual time, the group with the lowest tag
-gets the next free slot, and the tag moves on by the slot time used divided by the weight. The
-slot time is charged by estimate at the start and put right at the end, so a group pays for
-the time it holds slots and not for the number of its calls. It is work-conserving but for one
-case: a free slot waits only where more urgent calls usually hold it, see ``slot_use``. See
-docs/design/fair-shares.md.
+"""Weighted fair queueing of the backend's slots between groups.
+
+Implements start-time fair queueing: each group has a start tag in virtual time, the waiting group
+with the lowest tag gets the next free slot, and its tag advances by slot time divided by weight.
+Slot time is charged by estimate when a call starts and corrected when it ends, so groups pay for
+the time they hold slots rather than for their number of calls.
+
+The queue is work-conserving except for slots reserved for more urgent calls, see
+``slot_reservation``. See docs/design/fair-shares.md.
 """
 
 from __future__ import annotations
@@ -15,19 +16,26 @@
 
 from msgspec import Struct
 
-from limelever.agent.deadlines import DeadlineHeap
+from limelever.agent.backend_refusals import IMMEDIATE_RETRY_SECONDS, has_capacity
+from limelever.agent.deadline_heap import DeadlineHeap
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
-from limelever.agent.return_times import ReturnTimes
-from limelever.agent.slot_use import SlotUse
-from limelever.agent.turned_away import AT_ONCE, has_room
-from limelever.agent.wait_estimate import FIRST_SERVICE_TIME, MINIMUM_CHARGE, WaitEstimate
+from limelever.agent.retry_schedule import RetrySchedule
+from limelever.agent.slot_reservation import SlotReservation
+from limelever.agent.wait_estimator import (
+    INITIAL_SERVICE_SECONDS,
+    MIN_CHARGE_SECONDS,
+    WaitEstimator,
+)
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.priorities import priority_of
 
 
 class QueueLimits(Struct, frozen=True):
-    """Bounds of the queue: ``group_calls`` waiting calls a group, ``total_bytes`` in all."""
+    """Bounds of the queue: ``group_calls`` per group, ``total_bytes`` over all waiting calls.
+
+    Up to ``unlisted_groups`` groups without a configured weight get a queue of their own.
+    """
 
     slots: int = 6
     group_calls: int = 64
@@ -37,7 +45,7 @@
 
 
 class Eviction(Struct, frozen=True):
-    """A queued call refused to make room for a group or a tenant that is below its part."""
+    """A waiting call removed in favour of a group or tenant that is below its share."""
 
     call: int
     failure: Failure
@@ -46,11 +54,11 @@
 class _RunningCall(Struct, frozen=True):
     group: str
     started_at: float
-    charged: float
+    charged_seconds: float
 
 
 class FairQueue:
-    """Divides slots between groups; times are monotonic seconds given by the caller."""
+    """Divides slots between groups; times are monotonic seconds passed in by the caller."""
 
     def __init__(self, limits: QueueLimits) -> None:
         self._limits = limits
@@ -58,10 +66,10 @@
         self._group_of: dict[int, str] = {}
         self._running: dict[int, _RunningCall] = {}
         self._deadlines = DeadlineHeap()
-        self._estimate = WaitEstimate(limits.slots, self._groups)
-        self._slot_use = SlotUse(limits.slots)
-        self._returns = ReturnTimes(limits.slots)
-        self._room_at = math.inf
+        self._estimator = WaitEstimator(limits.slots, self._groups)
+        self._reservation = SlotReservation(limits.slots)
+        self._retries = RetrySchedule(limits.slots)
+        self._slot_available_at = math.inf
         self._virtual_time = 0.0
         self._queued_bytes = 0
 
@@ -77,215 +85,219 @@
 
     @property
     def queued_bytes(self) -> int:
-        """Return the bytes held by waiting calls."""
+        """Return the total body size of waiting calls."""
         return self._queued_bytes
 
     @property
     def service_time(self) -> float:
-        """Return how long a call takes without waiting, in seconds; 0 while nothing is known."""
-        return self._estimate.overall
+        """Return the average time a call holds a slot, in seconds; 0 if unknown."""
+        return self._estimator.overall
 
     def service_time_of(self, group: str) -> float:
-        """Return how long a call of a group takes without waiting, in seconds; 0 if unknown."""
-        return self._estimate.service_time_of(group)
+        """Return the average time a call of a group holds a slot, in seconds; 0 if unknown."""
+        return self._estimator.service_time_of(group)
 
     def set_weights(self, weights: Mapping[str, int]) -> None:
-        """Take the weights of all groups that have a share; others get the default weight."""
+        """Replace the weights of all groups; groups not listed get the default weight."""
         self._groups.set_weights(weights, self._virtual_time)
 
     def set_tenant_rates(self, rates: Mapping[str, float]) -> None:
-        """Take the tenants' rates in calls a second, by which they share each group's turns."""
+        """Replace the tenant rates, in calls per second, used to share each group's slots."""
         self._groups.tenant_rates.replace(rates)
 
     def offer(
-        self, call: QueuedCall, now: float, *, checked: bool = False
+        self, call: QueuedCall, now: float, *, prechecked: bool = False
     ) -> Failure | tuple[Eviction, ...]:
-        """Queue a call, or refuse it at once (NOT RUN) when it cannot make its deadline.
+        """Enqueue a call, or reject it immediately (NOT RUN) if it cannot meet its deadline.
 
-        One that was ``checked`` before its body was asked for is refused only if its deadline has
-        passed: its bytes have been paid for. Returns the calls of other groups and tenants that
-        lost their place for it.
+        A ``prechecked`` call passed :meth:`check` before its body was requested. It is rejected
+        only if its deadline has passed, because its body has already been transferred. Returns the
+        calls evicted to make room for it.
         """
         group = self._groups.open(call.group, self._virtual_time)
-        failure = _past_deadline(call, now) if checked else self._refusal(group, call, now)
+        failure = _past_deadline(call, now) if prechecked else self._refusal(group, call, now)
         if failure is None:
-            evictions = self._make_room(group, call.size, now)
+            evictions = self._free_bytes(group, call.size, now)
             if not isinstance(evictions, Failure):
-                evictions += self._make_place(group, call.tenant, now)
+                evictions += self._free_position(group, call.tenant, now)
                 self._append(group, call)
                 return evictions
             failure = evictions
-        self._groups.forget_if_idle(group, self._virtual_time)
+        self._groups.remove_if_idle(group, self._virtual_time)
         return failure
 
-    def check(self, call: QueuedCall, now: float, whole_after: float = 0.0) -> Failure | None:
-        """Return why a call whose body is whole in so many seconds would be refused.
+    def check(self, call: QueuedCall, now: float, body_delay: float = 0.0) -> Failure | None:
+        """Return why a call whose body arrives within ``body_delay`` seconds would be rejected.
 
-        Nothing is queued.
+        Does not enqueue the call.
         """
         group = self._groups.open(call.group, self._virtual_time)
-        failure = self._refusal(group, call, now, whole_after)
-        self._groups.forget_if_idle(group, self._virtual_time)
+        failure = self._refusal(group, call, now, body_delay)
+        self._groups.remove_if_idle(group, self._virtual_time)
         return failure
 
     def start_next(self, now: float) -> QueuedCall | None:
-        """Give a free slot to the group with the lowest tag; ``None`` when there is no such."""
+        """Start a call of the group with the lowest tag; ``None`` if none may start now."""
         free = self._limits.slots - self.running
-        self._room_at = math.inf
+        self._slot_available_at = math.inf
         if free <= 0 or not self._group_of:
             return None
         group = min(
-            (g for g in self._groups if g.calls and self._may_start_at(g, free, now) <= now),
-            key=lambda candidate: (candidate.tag, candidate.name),
+            (g for g in self._groups if g.calls and self._earliest_start(g, free, now) <= now),
+            key=lambda candidate: (candidate.start_tag, candidate.name),
             default=None,
         )
         if group is None:
-            self._room_at = min(self._may_start_at(g, free, now) for g in self._groups if g.calls)
+            self._slot_available_at = min(
+                self._earliest_start(g, free, now) for g in self._groups if g.calls
+            )
             return None
         call = group.pop_next()
-        self._dequeued(call)
-        self._virtual_time = max(self._virtual_time, group.tag)
-        charged = self._estimate.charge(group)
+        self._forget_queued(call)
+        self._virtual_time = max(self._virtual_time, group.start_tag)
+        charged = self._estimator.charge(group)
         group.charge(charged)
         group.running += 1
-        self._running[call.call] = _RunningCall(group.name, now, charged)
-        self._slot_use.started(priority_of(group.name), now)
+        self._running[call.number] = _RunningCall(group.name, now, charged)
+        self._reservation.call_started(priority_of(group.name), now)
         return call
 
     def finish(self, call: int, now: float, representative: bool) -> None:
-        """Free a call's slot and charge what it really took.
+        """Free a call's slot and charge the time it actually held it.
 
-        ``representative`` is false for calls that failed or were shed: they are charged, but
-        say nothing about how long a call takes.
+        ``representative`` is false for failed and shed calls: they are charged, but left out of the
+        service time estimate.
         """
         running = self._running.pop(call)
         group = self._groups.get(running.group)
-        seconds = max(now - running.started_at, MINIMUM_CHARGE)
+        seconds = max(now - running.started_at, MIN_CHARGE_SECONDS)
         group.running -= 1
-        self._slot_use.ended(priority_of(group.name), now)
-        group.charge(seconds - running.charged)
+        self._reservation.call_ended(priority_of(group.name), now)
+        group.charge(seconds - running.charged_seconds)
         if representative:
-            self._estimate.observe(group.name, seconds)
-        self._groups.forget_if_idle(group, self._virtual_time)
-        self._restart_virtual_time_when_idle()
+            self._estimator.observe(group.name, seconds)
+        self._groups.remove_if_idle(group, self._virtual_time)
+        self._reset_when_idle()
 
     def remove(self, call: int) -> bool:
-        """Take a waiting call out; false when it does not wait."""
+        """Remove a waiting call; return false if it is not waiting."""
         name = self._group_of.get(call)
         if name is None:
             return False
         group = self._groups.get(name)
         queued = group.calls[call]
         group.remove(call)
-        self._dequeued(queued)
-        self._groups.forget_if_idle(group, self._virtual_time)
+        self._forget_queued(queued)
+        self._groups.remove_if_idle(group, self._virtual_time)
         return True
 
-    def take_expired(self, now: float) -> tuple[int, ...]:
-        """Take out the waiting calls whose deadline has passed."""
-        expired = self._deadlines.expired(now)
+    def pop_expired(self, now: float) -> tuple[int, ...]:
+        """Remove and return the waiting calls whose deadline has passed."""
+        expired = self._deadlines.pop_expired(now)
         for call in expired:
             self.remove(call)
         return expired
 
-    def take_hopeless(self, now: float) -> tuple[int, ...]:
-        """Take out the calls that are next in their groups and waited too long to finish in time.
+    def pop_infeasible(self, now: float) -> tuple[int, ...]:
+        """Remove and return the next calls of groups that can no longer meet their deadline.
 
-        Without a free slot there is nothing to decide.
+        Does nothing while no slot is free.
         """
         if self.running >= self._limits.slots:
             return ()
-        hopeless: list[int] = []
+        infeasible: list[int] = []
         for group in tuple(self._groups):
-            while group.calls and self._estimate.is_hopeless(group, group.next_call, now):
-                hopeless.append(group.next_call.call)
-                self.remove(group.next_call.call)
-        return tuple(hopeless)
+            while group.calls and self._estimator.is_infeasible(group, group.next_call, now):
+                infeasible.append(group.next_call.number)
+                self.remove(group.next_call.number)
+        return tuple(infeasible)
 
-    def advice(self, name: str, now: float) -> float:
-        """Return after how many seconds a refused caller of a group may find room."""
+    def retry_after(self, name: str, now: float) -> float:
+        """Return the number of seconds after which a rejected caller should retry."""
         group = self._groups.find(name)
         if group is None:
-            return self._returns.book(0.0, self._estimate.overall, now)
-        return self._book_return(group, now)
+            return self._retries.reserve(0.0, self._estimator.overall, now)
+        return self._reserve_retry(group, now)
 
-    def advice_of_turned_away(self, name: str, now: float) -> float:
-        """Return after how many seconds a caller whom the back end turned away may come back."""
-        if has_room(self.running, self.queued, self._limits.slots):
-            return AT_ONCE
-        return self.advice(name, now)
+    def retry_after_backend_refusal(self, name: str, now: float) -> float:
+        """Return the retry delay for a caller whose request the backend itself refused."""
+        if has_capacity(self.running, self.queued, self._limits.slots):
+            return IMMEDIATE_RETRY_SECONDS
+        return self.retry_after(name, now)
 
     def next_deadline(self) -> float | None:
-        """Return the earliest deadline of a waiting call, or when one may take a free slot."""
+        """Return the earliest deadline, or when a reserved slot becomes available if sooner."""
         earliest = self._deadlines.earliest()
         if earliest is None:
             return None
-        return min(earliest, self._room_at)
+        return min(earliest, self._slot_available_at)
 
     def _refusal(
-        self, group: GroupQueue, call: QueuedCall, now: float, whole_after: float = 0.0
+        self, group: GroupQueue, call: QueuedCall, now: float, body_delay: float = 0.0
     ) -> Failure | None:
         failure = _past_deadline(call, now)
         if failure is not None:
             return failure
-        held_up = self._estimate.is_held_up_by_link(group, call, now, whole_after)
-        if not held_up and self._starts_at_once(group, now):
+        delayed_by_body = self._estimator.is_body_too_slow(group, call, now, body_delay)
+        if not delayed_by_body and self._starts_immediately(group, now):
             return None
-        if self._estimate.is_blind(call, self.queued):
-            advice = self._returns.book(0.0, FIRST_SERVICE_TIME, now)
-            reason = "nothing is known yet of how long calls take, and some wait already"
-            return Failure(ErrorKind.DEADLINE_TOO_SHORT, reason, retry_after=advice)
-        if self._is_full(group) and group.turns.gives_way(call.tenant) is None:
-            return self._share_failure(group, "the group's queue is full", now)
-        wait = max(whole_after, self._wait(group, now, call.tenant))
-        service_time = self._estimate.service_time(group)
-        if self._estimate.is_too_long(group, call, now, wait):
+        if self._estimator.lacks_estimate(call, self.queued):
+            retry_after = self._retries.reserve(0.0, INITIAL_SERVICE_SECONDS, now)
+            reason = "service time not known yet and too many calls waiting"
+            return Failure(ErrorKind.DEADLINE_TOO_SHORT, reason, retry_after=retry_after)
+        if self._is_full(group) and group.tenants.eviction_candidate(call.tenant) is None:
+            return self._share_exceeded(group, "group queue is full", now)
+        wait = max(body_delay, self._wait(group, now, call.tenant))
+        service_time = self._estimator.service_time(group)
+        if self._estimator.exceeds_wait_limit(group, call, now, wait):
             return Failure(
                 ErrorKind.DEADLINE_TOO_SHORT,
-                f"an answer takes about {wait + service_time:.3f} s",
-                retry_after=self._book_return(group, now, whole_after),
+                f"expected time to response of about {wait + service_time:.3f} s is too long",
+                retry_after=self._reserve_retry(group, now, body_delay),
             )
         return None
 
     def _is_full(self, group: GroupQueue) -> bool:
         return len(group.calls) >= self._limits.group_calls
 
-    def _share_failure(self, group: GroupQueue, reason: str, now: float) -> Failure:
-        alone = self._groups.only_active(group)
-        kind = ErrorKind.OVERLOADED if alone else ErrorKind.SHARE_EXHAUSTED
-        return Failure(kind, reason, retry_after=self._book_return(group, now))
+    def _share_exceeded(self, group: GroupQueue, reason: str, now: float) -> Failure:
+        only_active = self._groups.only_active(group)
+        kind = ErrorKind.OVERLOADED if only_active else ErrorKind.SHARE_EXHAUSTED
+        return Failure(kind, reason, retry_after=self._reserve_retry(group, now))
 
-    def _book_return(self, group: GroupQueue, now: float, whole_after: float = 0.0) -> float:
-        wait = max(whole_after, self._wait(group, now))
-        return self._returns.book(wait, self._estimate.service_time(group), now)
+    def _reserve_retry(self, group: GroupQueue, now: float, body_delay: float = 0.0) -> float:
+        wait = max(body_delay, self._wait(group, now))
+        return self._retries.reserve(wait, self._estimator.service_time(group), now)
 
-    def _starts_at_once(self, group: GroupQueue, now: float) -> bool:
+    def _starts_immediately(self, group: GroupQueue, now: float) -> bool:
         free = self._limits.slots - self.running
-        return not self._group_of and free > 0 and self._may_start_at(group, free, now) <= now
+        return not self._group_of and free > 0 and self._earliest_start(group, free, now) <= now
 
-    def _may_start_at(self, group: GroupQueue, free: int, now: float) -> float:
-        return self._slot_use.room_at(priority_of(group.name), free, now)
+    def _earliest_start(self, group: GroupQueue, free: int, now: float) -> float:
+        return self._reservation.available_at(priority_of(group.name), free, now)
 
-    def _make_room(
+    def _free_bytes(
         self, group: GroupQueue, size: int, now: float
     ) -> Failure | tuple[Eviction, ...]:
         limit = self._limits.total_bytes
         if self._queued_bytes + size <= limit:
             return ()
-        if group.queued_bytes + size > self._byte_part(group):
-            return self._share_failure(group, "the group's part of the queue's bytes is full", now)
+        if group.queued_bytes + size > self._byte_share(group):
+            return self._share_exceeded(group, "group exceeds its share of queued bytes", now)
         evictions: list[Eviction] = []
         while self._queued_bytes + size > limit:
             evictions.append(self._evict(now))
         return tuple(evictions)
 
-    def _make_place(self, group: GroupQueue, tenant: str, now: float) -> tuple[Eviction, ...]:
-        """Take a call of the tenant with most waiting out of a full group."""
-        number = group.turns.gives_way(tenant) if self._is_full(group) else None
+    def _free_position(self, group: GroupQueue, tenant: str, now: float) -> tuple[Eviction, ...]:
+        """Evict a call of the tenant with the longest queue if the group's queue is full."""
+        number = group.tenants.eviction_candidate(tenant) if self._is_full(group) else None
         if number is None:
             return ()
-        failure = self._share_failure(group, "gave way to a tenant with fewer calls waiting", now)
-        self._dequeued(group.calls[number])
+        failure = self._share_exceeded(
+            group, "evicted in favour of a tenant with fewer waiting calls", now
+        )
+        self._forget_queued(group.calls[number])
         group.remove(number)
         return (Eviction(number, failure),)
 
@@ -293,37 +305,37 @@
         victim = max(
             (group for group in self._groups if group.calls),
             key=lambda group: (
-                group.queued_bytes / self._byte_part(group),
+                group.queued_bytes / self._byte_share(group),
                 group.name,
             ),
         )
-        failure = self._share_failure(victim, "gave way to a group below its share", now)
+        failure = self._share_exceeded(victim, "evicted in favour of a group below its share", now)
         call = victim.pop_newest()
-        self._dequeued(call)
-        self._groups.forget_if_idle(victim, self._virtual_time)
-        return Eviction(call.call, failure)
+        self._forget_queued(call)
+        self._groups.remove_if_idle(victim, self._virtual_time)
+        return Eviction(call.number, failure)
 
-    def _byte_part(self, group: GroupQueue) -> float:
-        return self._groups.part_of(group, self._limits.total_bytes)
+    def _byte_share(self, group: GroupQueue) -> float:
+        return self._groups.share_of(group, self._limits.total_bytes)
 
     def _append(self, group: GroupQueue, call: QueuedCall) -> None:
         if not group.calls:
-            group.tag = max(group.tag, self._virtual_time)
+            group.start_tag = max(group.start_tag, self._virtual_time)
         group.append(call)
-        self._group_of[call.call] = group.name
+        self._group_of[call.number] = group.name
         self._queued_bytes += call.size
-        self._deadlines.add(call.call, call.deadline)
+        self._deadlines.add(call.number, call.deadline)
 
-    def _dequeued(self, call: QueuedCall) -> None:
-        del self._group_of[call.call]
+    def _forget_queued(self, call: QueuedCall) -> None:
+        del self._group_of[call.number]
         self._queued_bytes -= call.size
-        self._deadlines.remove(call.call)
+        self._deadlines.remove(call.number)
 
     def _wait(self, group: GroupQueue, now: float, tenant: str = "") -> float:
-        urgent = self._slot_use.held_by_more_urgent(priority_of(group.name), now)
-        return self._estimate.wait(group, self._virtual_time, urgent, tenant)
+        urgent = self._reservation.held_by_more_urgent(priority_of(group.name), now)
+        return self._estimator.wait(group, self._virtual_time, urgent, tenant)
 
-    def _restart_virtual_time_when_idle(self) -> None:
+    def _reset_when_idle(self) -> None:
         if not self._running and not self._group_of:
             self._groups.clear()
             self._virtual_time = 0.0
@@ -332,4 +344,4 @@
 def _past_deadline(call: QueuedCall, now: float) -> Failure | None:
     if call.deadline > now:
         return None
-    return Failure(ErrorKind.DEADLINE_TOO_SHORT, "the deadline has passed")
+    return Failure(ErrorKind.DEADLINE_TOO_SHORT, "deadline has passed")
--- a/src/limelever/agent/group_queue.py
+++ b/src/limelever/agent/group_queue.py
@@ -1,4 +1,4 @@
-"""One group's queue and its place in virtual time."""
+"""The queue of one group and its position in virtual time."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from msgspec import Struct, field
 
-from limelever.agent.tenant_turns import TenantRates, TenantTurns
+from limelever.agent.tenant_scheduler import TenantRates, TenantScheduler
 
 
 class QueuedCall(Struct, frozen=True):
-    """A call that waits for a slot; times in monotonic seconds, ``size`` in bytes.
+    """A call waiting for a slot; times in monotonic seconds, ``size`` in bytes.
 
-    An answer after ``target`` is worth less, one after ``deadline`` nothing.
+    ``target`` is the soft deadline after which the response loses value, ``deadline`` the hard one.
     """
 
-    call: int
+    number: int
     group: str
     deadline: float
     size: int
@@ -25,24 +25,24 @@
     tenant: str = ""
 
 
-def _own_turns() -> TenantTurns:
-    return TenantTurns(TenantRates())
+def _default_scheduler() -> TenantScheduler:
+    return TenantScheduler(TenantRates())
 
 
 class GroupQueue(Struct):
-    """Calls of one group in order of arrival, with the turns of their tenants.
+    """Waiting calls of one group in arrival order, with the scheduler of their tenants.
 
-    ``tag`` is the virtual start time of the group's next call: the slot time charged to the
+    ``start_tag`` is the virtual start time of the group's next call: the slot time charged to the
     group so far, divided by its weight.
     """
 
     name: str
     weight: int
-    tag: float = 0.0
+    start_tag: float = 0.0
     running: int = 0
     queued_bytes: int = 0
     calls: OrderedDict[int, QueuedCall] = field(default_factory=OrderedDict)
-    turns: TenantTurns = field(default_factory=_own_turns)
+    tenants: TenantScheduler = field(default_factory=_default_scheduler)
 
     @property
     def active(self) -> bool:
@@ -51,39 +51,39 @@
 
     @property
     def next_call(self) -> QueuedCall:
-        """Return the call whose turn it is; raises ``ValueError`` without any."""
-        return self.calls[self.turns.next_call]
+        """Return the call to start next; raises ``ValueError`` if there is none."""
+        return self.calls[self.tenants.next_call]
 
     def append(self, call: QueuedCall) -> None:
-        """Put a call at the end."""
-        self.calls[call.call] = call
-        self.turns.add(call.call, call.tenant)
+        """Add a call at the end of the queue."""
+        self.calls[call.number] = call
+        self.tenants.add(call.number, call.tenant)
         self.queued_bytes += call.size
 
     def pop_next(self) -> QueuedCall:
-        """Take the call whose turn it is."""
-        call = self.calls.pop(self.turns.next_call)
-        self.turns.served(call.call, call.tenant)
+        """Remove and return the call to start next."""
+        call = self.calls.pop(self.tenants.next_call)
+        self.tenants.mark_started(call.number, call.tenant)
         self.queued_bytes -= call.size
         return call
 
     def pop_newest(self) -> QueuedCall:
-        """Take the call that arrived last."""
+        """Remove and return the call that arrived last."""
         call = next(reversed(self.calls.values()))
-        self.remove(call.call)
+        self.remove(call.number)
         return call
 
     def remove(self, call: int) -> None:
-        """Take one call out, wherever it stands."""
+        """Remove a call from any position."""
         removed = self.calls.pop(call)
-        self.turns.remove(call, removed.tenant)
+        self.tenants.remove(call, removed.tenant)
         self.queued_bytes -= removed.size
 
     def charge(self, seconds: float) -> None:
-        """Move the tag by slot time used (negative: charged too much before)."""
-        self.tag += seconds / self.weight
+        """Advance the tag by used slot time; a negative value corrects an overcharge."""
+        self.start_tag += seconds / self.weight
 
     def change_weight(self, weight: int, virtual_time: float) -> None:
-        """Take a new weight; what is owed counts by it from now on."""
-        self.tag = virtual_time + (self.tag - virtual_time) * self.weight / weight
+        """Set a new weight and rescale outstanding charges to it."""
+        self.start_tag = virtual_time + (self.start_tag - virtual_time) * self.weight / weight
         self.weight = weight
--- /dev/null
+++ b/src/limelever/agent/retry_schedule.py
@@ -0,0 +1,35 @@
+"""Assigns retry times to rejected callers, spread over the time in which slots become free.
+
+Each rejected caller gets its own time, later than those assigned before. Retries are scheduled on a
+part of the slots only, because new calls arrive in the meantime.
+"""
+
+from __future__ import annotations
+
+RETRY_SLOT_RATIO = 0.25
+"""Ratio of the slots on which retries are scheduled."""
+
+MAX_RETRY_SECONDS = 2.0
+"""Maximum retry delay; the duration of longer overloads is not predictable."""
+
+MIN_RETRY_SECONDS = 0.1
+"""Minimum retry delay."""
+
+
+class RetrySchedule:
+    """Retry times assigned to the rejected callers of one backend, in monotonic seconds."""
+
+    def __init__(self, slots: int) -> None:
+        self._slots = slots
+        self._next_at = 0.0
+
+    def reserve(self, wait: float, service_time: float, now: float) -> float:
+        """Return the retry delay in seconds of a caller that is rejected now.
+
+        ``wait`` is the expected wait for a slot, ``service_time`` how long the call would hold it.
+        """
+        earliest = now + max(wait, MIN_RETRY_SECONDS)
+        latest = max(earliest, now + MAX_RETRY_SECONDS)
+        retry_at = min(max(earliest, self._next_at), latest)
+        self._next_at = retry_at + service_time / (self._slots * RETRY_SLOT_RATIO)
+        return retry_at - now
--- a/src/limelever/agent/service_time.py
+++ b/src/limelever/agent/service_time.py
@@ -1,13 +1,13 @@
-"""Observed service time of the back end: an exponentially weighted moving average."""
+"""Exponentially weighted moving average of service times."""
 
 from __future__ import annotations
 
-_SMOOTHING = 0.1
-"""Weight of the newest observation; about the last twenty decide."""
+_SMOOTHING_FACTOR = 0.1
+"""Weight of the newest observation."""
 
 
-class ServiceTime:
-    """Moving average in seconds; unknown (``None``) until the first observation."""
+class ServiceTimeAverage:
+    """Moving average in seconds; ``None`` until the first observation."""
 
     __slots__ = ("_mean",)
 
@@ -20,8 +20,8 @@
         return self._mean
 
     def observe(self, seconds: float) -> None:
-        """Take the duration of one finished call."""
+        """Add the service time of a completed call."""
         if self._mean is None:
             self._mean = seconds
             return
-        self._mean += _SMOOTHING * (seconds - self._mean)
+        self._mean += _SMOOTHING_FACTOR * (seconds - self._mean)
