--- a/src/limelever/agent/fair_queue.py
+++ b/src/limelever/agent/fair_queue.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from limelever.agent.backend_refusals import IMMEDIATE_RETRY_SECONDS, has_capacity
+from limelever.agent.backend_refusals import IMMEDIATE_RETRY_SECONDS, has_room
 from limelever.agent.deadline_heap import DeadlineHeap
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
@@ -221,7 +221,7 @@
 
     def retry_after_backend_refusal(self, name: str, now: float) -> float:
         """Return the retry delay for a caller whose request the backend itself refused."""
-        if has_capacity(self.running, self.queued, self._limits.slots):
+        if has_room(self.running, self.queued, self._limits.slots):
             return IMMEDIATE_RETRY_SECONDS
         return self.retry_after(name, now)
 
--- a/src/limelever/agent/retry_schedule.py
+++ b/src/limelever/agent/retry_schedule.py
@@ -26,10 +26,11 @@
     def reserve(self, wait: float, service_time: float, now: float) -> float:
         """Return the retry delay in seconds of a caller that is rejected now.
 
-        ``wait`` is the expected wait for a slot, ``service_time`` how long the call would hold it.
+        ``wait`` is how long it would have had to wait for a slot, ``service_time`` how long a call
+        of its kind holds one.
         """
         earliest = now + max(wait, MIN_RETRY_SECONDS)
         latest = max(earliest, now + MAX_RETRY_SECONDS)
-        retry_at = min(max(earliest, self._next_at), latest)
-        self._next_at = retry_at + service_time / (self._slots * RETRY_SLOT_RATIO)
-        return retry_at - now
+        at = min(max(earliest, self._next_at), latest)
+        self._next_at = at + service_time / (self._slots * RETRY_SLOT_RATIO)
+        return at - now
--- a/src/limelever/agent/tenant_scheduler.py
+++ b/src/limelever/agent/tenant_scheduler.py
@@ -46,9 +46,9 @@
 
 
 class _TenantQueue(Struct):
-    """Waiting calls of a tenant in arrival order; ``start_tag`` belongs to the oldest."""
+    """Waiting calls of a tenant in arrival order; ``tag`` belongs to the oldest."""
 
-    start_tag: float
+    tag: float
     calls: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
     @property
@@ -76,13 +76,13 @@
     @property
     def next_call(self) -> int:
         """Return the call to start next; raises ``ValueError`` if there is none."""
-        return min(self._queues.values(), key=lambda queue: (queue.start_tag, queue.oldest)).oldest
+        return min(self._queues.values(), key=lambda queue: (queue.tag, queue.oldest)).oldest
 
     def mark_started(self, call: int, tenant: str) -> None:
         """Remove a call that starts and advance its tenant's tag."""
         queue = self._queues[tenant]
-        self._virtual_time = max(self._virtual_time, queue.start_tag)
-        queue.start_tag += 1 / self._rates.rate_of(tenant)
+        self._virtual_time = max(self._virtual_time, queue.tag)
+        queue.tag += 1 / self._rates.rate_of(tenant)
         self.remove(call, tenant)
 
     def remove(self, call: int, tenant: str) -> None:
@@ -91,7 +91,7 @@
         del queue.calls[call]
         if not queue.calls:
             del self._queues[tenant]
-            self._remember_tag(tenant, queue.start_tag)
+            self._remember_tag(tenant, queue.tag)
 
     def count_ahead(self, tenant: str) -> int:
         """Return how many waiting calls start before a new call of a tenant."""
@@ -99,12 +99,10 @@
         if own is not None and len(self._queues) == 1:
             return len(own.calls)
         waiting = len(own.calls) if own is not None else 0
-        start_tag = own.start_tag if own is not None else self._initial_tag(tenant)
-        start_tag += waiting / self._rates.rate_of(tenant)
+        tag = own.tag if own is not None else self._initial_tag(tenant)
+        tag += waiting / self._rates.rate_of(tenant)
         others = (item for item in self._queues.items() if item[0] != tenant)
-        return waiting + sum(
-            self._count_started_until(start_tag, name, queue) for name, queue in others
-        )
+        return waiting + sum(self._count_started_until(tag, name, queue) for name, queue in others)
 
     def eviction_candidate(self, tenant: str) -> int | None:
         """Return the newest call of the tenant with the most waiting calls relative to its rate.
@@ -127,15 +125,15 @@
     def _initial_tag(self, tenant: str) -> float:
         return max(self._idle_tags.get(tenant, -math.inf), self._virtual_time - BURST_SECONDS)
 
-    def _count_started_until(self, start_tag: float, name: str, queue: _TenantQueue) -> int:
-        """Return how many waiting calls of a tenant have a tag up to ``start_tag``."""
-        if queue.start_tag > start_tag:
+    def _count_started_until(self, tag: float, name: str, queue: _TenantQueue) -> int:
+        """Return how many waiting calls of a tenant have a tag up to ``tag``."""
+        if queue.tag > tag:
             return 0
-        turns = math.floor((start_tag - queue.start_tag) * self._rates.rate_of(name)) + 1
+        turns = math.floor((tag - queue.tag) * self._rates.rate_of(name)) + 1
         return min(len(queue.calls), turns)
 
-    def _remember_tag(self, tenant: str, start_tag: float) -> None:
+    def _remember_tag(self, tenant: str, tag: float) -> None:
         """Keep the tag of a tenant that has become idle."""
         if len(self._idle_tags) >= MAX_IDLE_TENANTS:
             self._idle_tags.clear()
-        self._idle_tags[tenant] = start_tag
+        self._idle_tags[tenant] = tag
