--- a/features/steps/agent_answer_steps.py
+++ b/features/steps/agent_answer_steps.py
@@ -7,12 +7,12 @@
 import trio
 from behave import given, then, when
 
-from limelever.agent.answer_reader import AnswerReader
 from limelever.agent.backend import Backend
 from limelever.agent.fair_queue import FairQueue, QueueLimits
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
 from limelever.agent.interface import AttemptAnswered, AttemptFailed, StartAttempt
+from limelever.agent.response_parser import ResponseParser
 from limelever.agent.settings import BackendSettings
 from limelever.agent.wait_estimator import WaitEstimator
 from limelever.common.errors import ErrorKind, Failure
@@ -415,22 +415,22 @@
 @when("a back end answers a {method:w} with {raw}")
 def when_raw_answer(context, method, raw):
     name, _, end = raw.partition(", ended by a ")
-    context.reader = AnswerReader(method.encode(), LIMIT_BYTES)
-    context.reader.feed(RAW_ANSWERS[name])
+    context.parser = ResponseParser(method.encode(), LIMIT_BYTES)
+    context.parser.feed(RAW_ANSWERS[name])
     if end == "close":
-        context.reader.closed()
+        context.parser.handle_close()
     elif end == "reset":
-        context.reader.broken("reset")
+        context.parser.handle_error("reset")
 
 
 @then("the answer {is_whole}, and its connection {goes_on}")
 def then_reader(context, is_whole, goes_on):
-    reader = context.reader
-    assert (reader.answer is not None) is (is_whole == "is whole"), reader.failure
-    assert (reader.failure is None) is (is_whole == "is whole"), reader.failure
-    assert reader.reusable is (goes_on == "may be kept")
-    if reader.answer is not None:
-        assert reader.answer.body in (b"ok", b""), reader.answer
+    parser = context.parser
+    assert (parser.response is not None) is (is_whole == "is whole"), parser.failure
+    assert (parser.failure is None) is (is_whole == "is whole"), parser.failure
+    assert parser.reusable is (goes_on == "may be kept")
+    if parser.response is not None:
+        assert parser.response.body in (b"ok", b""), parser.response
 
 
 async def answer_before_reading(stream):
--- a/features/steps/answer_link_steps.py
+++ b/features/steps/answer_link_steps.py
@@ -11,8 +11,13 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from limelever.agent.answer_link import AHEAD_SECONDS, PART_SECONDS, AnswerLink, AnswerTimes
 from limelever.agent.interface import AttemptAnswered, StartAttempt
+from limelever.agent.response_pacer import (
+    AHEAD_SECONDS,
+    CHUNK_SECONDS,
+    CallTiming,
+    ResponsePacer,
+)
 from limelever.protocol.calls_pb2 import CallCancel, CallFailed, ResponseBody, ResponseStart
 from limelever_lab.links.answer_model import AnswerLoad, AnswerModel, AnswerOutcome, Leaving
 
@@ -66,18 +71,18 @@
         st.lists(st.tuples(st.integers(8193, 60_000), st.floats(-1.0, 2.0)), min_size=1, max_size=8)
     )
     def check(answers) -> None:
-        link = AnswerLink(RATE)
+        link = ResponsePacer(RATE)
         for number, (size, target) in enumerate(answers):
             link.add(number, size, TAKEN_WHOLE, NOW + target)
         sent = [0] * len(answers)
         now, on_link_until = NOW, NOW
         while True:
-            for part in link.parts(now):
-                assert part.size <= RATE * PART_SECONDS
-                sent[part.answer] += part.size
+            for part in link.next_chunks(now):
+                assert part.size <= RATE * CHUNK_SECONDS
+                sent[part.response] += part.size
                 on_link_until = max(now, on_link_until) + part.size / RATE
-                assert on_link_until - now <= AHEAD_SECONDS + PART_SECONDS
-            turn = link.next_turn()
+                assert on_link_until - now <= AHEAD_SECONDS + CHUNK_SECONDS
+            turn = link.next_send_time()
             if turn is None:
                 break
             assert turn > now
@@ -89,7 +94,7 @@
 
 @given("an answer link of {rate:d} bytes a second")
 def given_link(context: Context, rate: int) -> None:
-    context.link, context.now, context.left = AnswerLink(rate), NOW, {}
+    context.link, context.now, context.left = ResponsePacer(rate), NOW, {}
 
 
 def add(context: Context, answer: int, size: int, taken: int, seconds: float = TARGET) -> None:
@@ -100,12 +105,12 @@
 def let_leave(context: Context) -> list[int]:
     """Let time go on until nothing waits for a turn; return the answers that ended, in order."""
     ended = []
-    while (turn := context.link.next_turn()) is not None:
+    while (turn := context.link.next_send_time()) is not None:
         context.now = max(context.now, turn)
-        for part in context.link.parts(context.now):
-            context.left[part.answer] -= part.size
-            if not context.left[part.answer]:
-                ended.append(part.answer)
+        for part in context.link.next_chunks(context.now):
+            context.left[part.response] -= part.size
+            if not context.left[part.response]:
+                ended.append(part.response)
     return ended
 
 
@@ -135,7 +140,7 @@
 
 @when("{size:d} more bytes of answer 1 are taken")
 def take_more(context: Context, size: int) -> None:
-    context.link.allow(1, size)
+    context.link.add_credit(1, size)
 
 
 @then("answer 1 ends")
@@ -149,9 +154,9 @@
     assert not link.is_paced(TAKEN_WHOLE)
     for call in range(50):
         link.observe("long", 1_000_000)
-        link.expect(call, "long")
-    assert link.too_late_by("long", AnswerTimes(NOW + 0.001, NOW + 1.0, 0.0), NOW) == 0.0
-    assert link.wait(NOW) == 0.0
+        link.reserve(call, "long")
+    assert link.lateness("long", CallTiming(NOW + 0.001, NOW + 1.0, 0.0), NOW) == 0.0
+    assert link.backlog_seconds(NOW) == 0.0
 
 
 @when("the back end answers agent stream {stream:d} with {size:d} bytes")
--- a/features/steps/body_credit_steps.py
+++ b/features/steps/body_credit_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from limelever.agent.body_credit import PARTS_ASKED, BodyCredit
+from limelever.agent.body_credit import MAX_CHUNKS_IN_FLIGHT, BodyCreditScheduler
 from limelever.protocol.calls_pb2 import CallFailed
 from limelever_lab.links.model import LinkLoad, LinkModel, Sending
 
@@ -47,7 +47,7 @@
         st.lists(st.integers(1, 50_000), min_size=1, max_size=8), st.randoms(use_true_random=False)
     )
     def check(sizes, random) -> None:
-        credit = BodyCredit(RATE)
+        credit = BodyCreditScheduler(RATE)
         asked = [0] * len(sizes)
         coming: list[tuple[int, int]] = []
         for call, size in enumerate(sizes):
@@ -57,12 +57,12 @@
             for grant in credit.grants(now):
                 asked[grant.call] += grant.size
                 coming.append((grant.call, grant.size))
-            assert sum(size for _, size in coming) <= PART * PARTS_ASKED
+            assert sum(size for _, size in coming) <= PART * MAX_CHUNKS_IN_FLIGHT
             if not coming:
                 break
             call, size = coming.pop(random.randrange(len(coming)))
             now += 0.001
-            credit.arrived(call, size, now)
+            credit.received(call, size, now)
             if asked[call] == sizes[call] and all(other != call for other, _ in coming):
                 credit.remove(call)
         assert asked == sizes
@@ -72,7 +72,7 @@
 
 @given("a credit of a link of {rate:d} bytes a second")
 def given_credit(context: Context, rate: int) -> None:
-    context.credit, context.now = BodyCredit(rate), 10.0
+    context.credit, context.now = BodyCreditScheduler(rate), 10.0
 
 
 @given("body 1 of {first:d} bytes and body 2 of {second:d} bytes")
@@ -111,7 +111,7 @@
 
 @then("a body of {size:d} bytes is expected in {milliseconds:d} ms")
 def expected_in(context: Context, size: int, milliseconds: int) -> None:
-    assert round(context.credit.expected_time(size) * 1000) == milliseconds
+    assert round(context.credit.transfer_time(size) * 1000) == milliseconds
 
 
 @given("an agent on a link of {rate:d} bytes a second and a proxy")
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 from typer.testing import CliRunner
 
-from limelever.agent.answer_link import NO_ROOM
+from limelever.agent.response_pacer import NO_LINK_CAPACITY
 from limelever_lab.cli import build_app
 
 BEGIN = 1_000_000.0
@@ -141,7 +141,7 @@
         failed(12.1, **limited, tenant="greedy"),
         failed(12.2, **limited, tenant="small"),
         failed(12.3, "unauthenticated", 0, route=""),
-        failed(12.4, "deadline-too-short", 1, reason=NO_ROOM, tenant="small"),
+        failed(12.4, "deadline-too-short", 1, reason=NO_LINK_CAPACITY, tenant="small"),
         failed(12.5, "deadline-too-short", 1, route="stock", tenant="small"),
         failed(12.6, "no-endpoint", 0, route="stock", tenant="small"),
     )
--- a/features/steps/uneven_instances_steps.py
+++ b/features/steps/uneven_instances_steps.py
@@ -12,7 +12,7 @@
 from proxy_host import agents
 
 from limelever.agent.interface import AttemptAnswered
-from limelever.agent.load_header import pace_in
+from limelever.agent.load_header import parse_pace
 from limelever.common.http_headers import HeaderNames
 from limelever.common.sansio import SendMessage
 from limelever.protocol.calls_pb2 import ResponseStart
@@ -29,7 +29,7 @@
 @when('a back end\'s load header says ""')
 def header_says(context: Context, header: str = "") -> None:
     headers = ((b"x-load", header.encode()),) if header else ()
-    context.pace = pace_in(headers, HeaderNames(load=b"x-load"))
+    context.pace = parse_pace(headers, HeaderNames(load=b"x-load"))
 
 
 @then("its pace is {pace:d} thousandths")
--- a/src/limelever/agent/backend.py
+++ b/src/limelever/agent/backend.py
@@ -7,8 +7,6 @@
 import trio
 from msgspec import Struct
 
-from limelever.agent.answer_checks import is_of_request, refusal_of, unfounded_promise
-from limelever.agent.answer_reader import AnswerReader
 from limelever.agent.connections import BackendConnection, BackendConnections, keep_alive_seconds
 from limelever.agent.headers import encode_request, request_headers
 from limelever.agent.health_answer import FoundInstance, instance_in
@@ -20,7 +18,9 @@
     CheckBackend,
     StartAttempt,
 )
-from limelever.agent.load_header import pace_in
+from limelever.agent.load_header import parse_pace
+from limelever.agent.response_checks import backend_refusal, matches_request, unconfirmed_refusal
+from limelever.agent.response_parser import ResponseParser
 from limelever.agent.settings import BackendSettings
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.http_headers import HeaderNames, Headers, end_to_end
@@ -168,23 +168,23 @@
 
         An answer may come before a long request is sent whole; the connection is given up then.
         """
-        reader = AnswerReader(method, self._settings.max_response_bytes)
+        parser = ResponseParser(method, self._settings.max_response_bytes)
         rest = request[send_without_waiting(connection.stream, request) :]
         if not rest:
-            await _read_answer(connection, reader)
-            connection.reusable = reader.reusable
+            await _read_answer(connection, parser)
+            connection.reusable = parser.reusable
         else:
             async with trio.open_nursery() as nursery:
                 sent = trio.Event()
                 nursery.start_soon(_send_rest, connection, rest, sent)
-                await _read_answer(connection, reader)
-                connection.reusable = reader.reusable and sent.is_set()
+                await _read_answer(connection, parser)
+                connection.reusable = parser.reusable and sent.is_set()
                 nursery.cancel_scope.cancel()
-        connection.ended = reader.connection_ended
-        if reader.answer is not None:
-            return reader.answer
-        assert reader.failure is not None
-        return reader.failure
+        connection.ended = parser.connection_ended
+        if parser.response is not None:
+            return parser.response
+        assert parser.failure is not None
+        return parser.failure
 
     def _judged(
         self,
@@ -195,35 +195,35 @@
         body: bytes,
     ) -> Event:
         """Return what a whole answer means for the attempt."""
-        if not is_of_request(output.headers, headers, self._names):
+        if not matches_request(output.headers, headers, self._names):
             connection.reusable = False
             failure = Failure(ErrorKind.BACKEND_FAILED, "the answer belongs to another request")
             return AttemptFailed(output.attempt, failure, sent_any_byte=True)
-        refusal = refusal_of(status, headers, self._names)
+        refusal = backend_refusal(status, headers, self._names)
         if refusal is not None:
             return AttemptFailed(output.attempt, refusal, sent_any_byte=True, refused=True)
-        unfounded = unfounded_promise(status, self._names)
+        unfounded = unconfirmed_refusal(status, self._names)
         if unfounded is not None:
             return AttemptFailed(output.attempt, unfounded, sent_any_byte=True)
-        pace = pace_in(headers, self._names)
+        pace = parse_pace(headers, self._names)
         return AttemptAnswered(output.attempt, status, headers, body, pace)
 
 
-async def _read_answer(connection: BackendConnection, reader: AnswerReader) -> None:
-    while not reader.ended:
+async def _read_answer(connection: BackendConnection, parser: ResponseParser) -> None:
+    while not parser.finished:
         try:
             data = await receive(connection.stream, _RECEIVE_BYTES)
         except _BROKEN as error:
-            reader.broken(reason_of(error))
+            parser.handle_error(reason_of(error))
             return
         if data:
-            reader.feed(data)
+            parser.feed(data)
         else:
-            reader.closed()
+            parser.handle_close()
 
 
 async def _send_rest(connection: BackendConnection, rest: bytes, sent: trio.Event) -> None:
-    """Send the rest of a request; a break is left to the reader, an answer may have come first."""
+    """Send the rest of a request; a break is left to the parser, an answer may have come first."""
     try:
         await connection.stream.send_all(rest)
     except _BROKEN:
--- a/src/limelever/agent/body_credit.py
+++ b/src/limelever/agent/body_credit.py
@@ -1,10 +1,9 @@
-"""Which proxies may send how much of a body now: the receiving machine orders its own link.
+"""Receiver-driven flow control for request bodies on the agent's downlink.
 
-What has been pushed onto a link is delivered in the order in which it was sent, so that a lookup
-waits behind every body on its way. Bodies are asked for in small parts instead, never more at once
-than keep the link busy, the one with the fewest bytes left first. Receiver-driven credit as in
-Homa (Montazeri et al., SIGCOMM 2018) and pHost (Gao et al., CoNEXT 2015); there is no pacing: the
-arrival of a part asks for the next.
+Data pushed onto a link is delivered in order, so a short call waits behind every body in transit.
+Bodies are therefore requested in small chunks, no more at once than keep the link busy, shortest
+remaining body first. Receiver-driven credit as in Homa (Montazeri et al., SIGCOMM 2018) and pHost
+(Gao et al., CoNEXT 2015); there is no pacing: the arrival of a chunk triggers the next request.
 """
 
 from __future__ import annotations
@@ -14,113 +13,114 @@
 
 from msgspec import Struct
 
-PART_SECONDS = 0.016
-"""Time on the link of the part that is asked for at once; a choice: a few round trips."""
+CHUNK_SECONDS = 0.016
+"""Transmission time of one chunk."""
 
-PARTS_ASKED = 3
-"""Parts on their way at once, of all bodies together; a choice: one travels, one is being asked
-for, one is in hand when a sender is slow to answer."""
+MAX_CHUNKS_IN_FLIGHT = 3
+"""Maximum number of chunks in flight over all bodies, to cover the round trip time."""
 
-PARTS_OF_ONE_BODY = 2
-"""Parts of one body on their way at once, so that a silent sender leaves room for another."""
+MAX_CHUNKS_PER_BODY = 2
+"""Maximum number of chunks in flight per body, so that a stalled sender leaves room for others."""
 
-LEAST_PART_BYTES = 4096
-"""Smallest part, whatever the link: each costs two messages."""
+MIN_CHUNK_BYTES = 4096
+"""Minimum chunk size at any link rate, to limit the overhead per message."""
 
-UNPACED_PART_BYTES = 256 * 1024
-"""Part where the link's rate isn't known."""
+UNPACED_CHUNK_BYTES = 256 * 1024
+"""Chunk size if the link rate is unknown."""
 
-SILENT_SECONDS = 0.25
-"""After so long without a byte, what was asked of a sender no longer counts as on its way."""
+STALL_TIMEOUT_SECONDS = 0.25
+"""Time without data after which bytes granted to a sender no longer count as in flight."""
 
 
 class Grant(Struct, frozen=True):
-    """Bytes of a call's body that its proxy may send besides those asked for before."""
+    """Additional bytes of a call's body that its proxy may send."""
 
     call: int
     size: int
 
 
 class _Body(Struct):
-    """A body on its way; ``left`` are bytes not yet asked for, ``asked`` those not yet here."""
+    """A body being transferred; ``in_flight`` bytes are granted but not yet received."""
 
-    left: int
-    asked: int = 0
-    moved_at: float = -math.inf
+    ungranted: int
+    in_flight: int = 0
+    active_at: float = -math.inf
 
     @property
-    def missing(self) -> int:
-        return self.left + self.asked
+    def remaining(self) -> int:
+        return self.ungranted + self.in_flight
 
-    def is_moving(self, now: float) -> bool:
-        return self.asked > 0 and now - self.moved_at < SILENT_SECONDS
+    def is_active(self, now: float) -> bool:
+        return self.in_flight > 0 and now - self.active_at < STALL_TIMEOUT_SECONDS
 
 
-class BodyCredit:
-    """Bodies by the number of their call; times in seconds, ``rate`` in bytes a second.
+class BodyCreditScheduler:
+    """Grants credit for bodies by call number; times in seconds, ``rate`` in bytes per second.
 
-    A ``rate`` of 0 stands for a link whose rate is not known: then nothing is waited for.
+    A ``rate`` of 0 means that the link rate is unknown: transfer times are not estimated then.
     """
 
     def __init__(self, rate: int = 0) -> None:
         self._rate = rate
-        paced = max(LEAST_PART_BYTES, int(rate * PART_SECONDS))
-        self._part = paced if rate else UNPACED_PART_BYTES
+        paced_bytes = max(MIN_CHUNK_BYTES, int(rate * CHUNK_SECONDS))
+        self._chunk_bytes = paced_bytes if rate else UNPACED_CHUNK_BYTES
         self._by_call: dict[int, _Body] = {}
         self._granted_at = -math.inf
 
-    def expected_time(self, size: int) -> float:
-        """Return how long a body would take from now on until it is here whole."""
+    def transfer_time(self, size: int) -> float:
+        """Return how long the transfer of a new body would take, with shorter bodies first."""
         if not self._rate:
             return 0.0
-        before = sum(body.missing for body in self._by_call.values() if body.missing <= size)
-        return (before + size) / self._rate
+        ahead = sum(body.remaining for body in self._by_call.values() if body.remaining <= size)
+        return (ahead + size) / self._rate
 
     def add(self, call: int, size: int) -> None:
-        """Take in a body that is to be asked for."""
+        """Add a body to be requested."""
         self._by_call[call] = _Body(size)
 
     def holds(self, call: int) -> bool:
-        """Return whether the call's body is asked for here."""
+        """Return whether the call's body is being requested."""
         return call in self._by_call
 
-    def arrived(self, call: int, size: int, now: float) -> None:
-        """Take note of a part that came; more than was asked for counts as never asked for."""
+    def received(self, call: int, size: int, now: float) -> None:
+        """Record received bytes of a body; bytes beyond its grants are ignored."""
         body = self._by_call[call]
-        body.asked = max(0, body.asked - size)
-        body.moved_at = now
+        body.in_flight = max(0, body.in_flight - size)
+        body.active_at = now
 
     def remove(self, call: int) -> None:
-        """Forget a body: it is whole, or its call has ended."""
+        """Remove a body that is complete or whose call has ended."""
         self._by_call.pop(call, None)
 
     def grants(self, now: float) -> list[Grant]:
-        """Return what is to be asked for now."""
+        """Return the credit to grant now."""
         self._granted_at = now
-        moving = sum(body.asked for body in self._by_call.values() if body.is_moving(now))
-        room = self._part * PARTS_ASKED - moving
-        granted = []
+        active = sum(body.in_flight for body in self._by_call.values() if body.is_active(now))
+        available = self._chunk_bytes * MAX_CHUNKS_IN_FLIGHT - active
+        grants = []
         for call, body in self._shortest_first():
-            size = min(body.left, self._part * PARTS_OF_ONE_BODY - body.asked)
-            if size < min(body.left, self._part):
+            size = min(body.ungranted, self._chunk_bytes * MAX_CHUNKS_PER_BODY - body.in_flight)
+            if size < min(body.ungranted, self._chunk_bytes):
                 continue
-            if room < min(size, self._part):
+            if available < min(size, self._chunk_bytes):
                 break
-            size = min(size, room)
-            body.left -= size
-            body.asked += size
-            body.moved_at = max(body.moved_at, now)
-            room -= size
-            granted.append(Grant(call, size))
-        return granted
+            size = min(size, available)
+            body.ungranted -= size
+            body.in_flight += size
+            body.active_at = max(body.active_at, now)
+            available -= size
+            grants.append(Grant(call, size))
+        return grants
 
     def next_deadline(self) -> float | None:
-        """Return when a silent sender's part may be asked of another, if one waits."""
-        if not any(body.left for body in self._by_call.values()):
+        """Return when the credit of a stalled sender may be granted to another, if one waits."""
+        if not any(body.ungranted for body in self._by_call.values()):
             return None
-        silent_at = [b.moved_at + SILENT_SECONDS for b in self._by_call.values() if b.asked]
-        return min((at for at in silent_at if at > self._granted_at), default=None)
+        stalled_at = [
+            b.active_at + STALL_TIMEOUT_SECONDS for b in self._by_call.values() if b.in_flight
+        ]
+        return min((at for at in stalled_at if at > self._granted_at), default=None)
 
     def _shortest_first(self) -> Iterable[tuple[int, _Body]]:
-        waiting = [(call, body) for call, body in self._by_call.items() if body.left]
-        return sorted(waiting, key=lambda item: item[1].missing)
+        waiting = [(call, body) for call, body in self._by_call.items() if body.ungranted]
+        return sorted(waiting, key=lambda item: item[1].remaining)
--- a/src/limelever/agent/intake.py
+++ b/src/limelever/agent/call_receiver.py
@@ -1,4 +1,4 @@
-"""Takes calls in from proxies: checks each attempt and puts bodies in parts together."""
+"""Receives calls from proxies: validates each attempt and assembles chunked request bodies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from limelever.agent import events
-from limelever.agent.body_credit import BodyCredit, Grant
+from limelever.agent.body_credit import BodyCreditScheduler, Grant
 from limelever.agent.calls import Call, CallStage, CallTable, RecentAttempts
 from limelever.agent.start_checks import check_attempt, check_body, check_start
 from limelever.common.errors import ErrorKind, Failure
@@ -18,25 +18,25 @@
 
 
 class Refusal(Struct, frozen=True):
-    """Why a call is not taken in; without ``failure`` its proxy is to hear nothing."""
+    """Why a call is rejected; without ``failure`` nothing is sent to its proxy."""
 
     failure: Failure | None
     log: LogEvent | None = None
 
 
 class BodyLimits(Struct, frozen=True):
-    """Bounds in bytes: of one body, of all not yet whole, and of the link in bytes a second.
+    """Limits of one and of all incomplete bodies in bytes; link rate in bytes per second.
 
-    A ``link_rate`` of 0 stands for a rate that is not known.
+    A ``link_rate`` of 0 means unknown.
     """
 
-    one: int
-    assembling: int
+    max_body_bytes: int
+    assembling_bytes: int
     link_rate: int = 0
 
 
-class CallIntake:
-    """Calls on their way in; those with their body not yet whole are its own."""
+class CallReceiver:
+    """Validates new calls and holds them until their body is complete."""
 
     def __init__(
         self, service: str, incarnation: int, limits: BodyLimits, calls: CallTable
@@ -44,32 +44,32 @@
         self._service = service
         self._incarnation = incarnation
         self._limits = limits
-        self._max_body_bytes = limits.one
+        self._max_body_bytes = limits.max_body_bytes
         self._calls = calls
         self._recent = RecentAttempts()
         self._assembling: dict[int, Call] = {}
         self._assembling_bytes = 0
-        self._credit = BodyCredit(limits.link_rate)
+        self._credit = BodyCreditScheduler(limits.link_rate)
 
     @property
     def assembling(self) -> tuple[Call, ...]:
-        """Return the calls whose body is not yet whole."""
+        """Return the calls whose body is incomplete."""
         return tuple(self._assembling.values())
 
     @property
     def count(self) -> int:
-        """Return the number of calls whose body is not yet whole."""
+        """Return the number of calls whose body is incomplete."""
         return len(self._assembling)
 
     def set_max_body(self, service_limit: int) -> None:
-        """Take the service's own body limit in bytes; 0 leaves the process's limit."""
-        own = self._limits.one
-        self._max_body_bytes = min(own, service_limit) if service_limit else own
+        """Set the service's body limit in bytes; 0 applies only the process limit."""
+        process_limit = self._limits.max_body_bytes
+        self._max_body_bytes = min(process_limit, service_limit) if service_limit else process_limit
 
-    def open(
+    def accept(
         self, connection: ConnectionId, peer: str, start: CallStart, now: float, draining: bool
     ) -> Call | Refusal:
-        """Take the first message of a call, whole or not; a refusal is NOT RUN or a duplicate."""
+        """Handle the first message of a call; a rejected one is NOT RUN or a duplicate."""
         if start.agent_incarnation != self._incarnation:
             return self._wrong_incarnation(peer, start)
         if self._recent.due(now):
@@ -80,8 +80,8 @@
         if failure is not None:
             return Refusal(failure)
         deadline = now + start.deadline_left_ms / _MILLISECONDS
-        wanted = start.target_left_ms / _MILLISECONDS
-        target = now + wanted if wanted else math.inf
+        target_left = start.target_left_ms / _MILLISECONDS
+        target = now + target_left if target_left else math.inf
         call = self._calls.add(connection, start, deadline, target)
         call.arrived_at = now
         self._assembling[call.number] = call
@@ -89,46 +89,46 @@
         return call
 
     def add(self, call: Call, message: CallBody, now: float) -> Failure | None:
-        """Take a part of a call's body; return why it finds no room."""
+        """Append a part of a call's body; return a failure if it exceeds a limit."""
         call.body += message.data
-        self._credit.arrived(call.number, len(message.data), now)
+        self._credit.received(call.number, len(message.data), now)
         self._assembling_bytes += len(message.data)
         return self.check_body(call)
 
     def check_body(self, call: Call) -> Failure | None:
-        """Return why the body that a call has so far finds no room."""
+        """Return a failure if the body received so far exceeds a limit."""
         return check_body(
             len(call.body),
             self._max_body_bytes,
             self._assembling_bytes,
-            self._limits.assembling,
+            self._limits.assembling_bytes,
         )
 
-    def close(self, call: Call) -> None:
-        """Let go of a call: its body is whole, or it is refused or given up."""
+    def release(self, call: Call) -> None:
+        """Remove a call whose body is complete, or that was rejected or cancelled."""
         self._credit.remove(call.number)
         if self._assembling.pop(call.number, None) is not None:
             self._assembling_bytes -= len(call.body)
 
-    def expected_time(self, start: CallStart) -> float:
-        """Return how many seconds a body that is asked for now takes until it is here whole."""
-        return self._credit.expected_time(start.body_bytes)
+    def transfer_time(self, start: CallStart) -> float:
+        """Return the estimated transfer time in seconds of a body that is requested now."""
+        return self._credit.transfer_time(start.body_bytes)
 
-    def ask_for(self, call: Call) -> None:
-        """Ask for a call's body in its turn; one of unknown size is asked for up to the limit."""
+    def request_body(self, call: Call) -> None:
+        """Schedule the transfer of a call's body; an unknown size counts as the limit."""
         size = call.start.body_bytes or self._max_body_bytes
         self._credit.add(call.number, size - len(call.body))
 
     def grants(self, now: float) -> list[Grant]:
-        """Return which bodies may go on now, and by how much."""
+        """Return the credit to grant for bodies now."""
         return self._credit.grants(now) if self._assembling else []
 
-    def holds(self, call: Call) -> bool:
-        """Return whether the call's body is not yet whole."""
+    def is_assembling(self, call: Call) -> bool:
+        """Return whether the call's body is incomplete."""
         return call.stage is CallStage.ASSEMBLING
 
     def next_deadline(self) -> float | None:
-        """Return when a body that is not yet whole must be looked at."""
+        """Return the earliest deadline or stall timeout of an incomplete body."""
         if not self._assembling:
             return None
         earliest = min(call.deadline for call in self._assembling.values())
@@ -136,7 +136,7 @@
         return earliest if stalled is None else min(earliest, stalled)
 
     def expired(self, now: float) -> list[Call]:
-        """Return the calls whose deadline passed before their body was whole."""
+        """Return the calls whose deadline passed before their body was complete."""
         return [call for call in self._assembling.values() if call.deadline <= now]
 
     def _check(self, connection: ConnectionId, start: CallStart, draining: bool) -> Failure | None:
@@ -145,12 +145,12 @@
             return failure
         self._recent.add(start.attempt_id)
         if draining:
-            return Failure(ErrorKind.DRAINING, "the back end is leaving")
+            return Failure(ErrorKind.DRAINING, "backend is draining")
         stream_in_use = self._calls.by_stream(connection, start.stream) is not None
         return check_start(start, self._service, stream_in_use, self._max_body_bytes)
 
     def _wrong_incarnation(self, peer: str, start: CallStart) -> Refusal:
-        failure = Failure(ErrorKind.WRONG_INCARNATION, f"this is incarnation {self._incarnation}")
+        failure = Failure(ErrorKind.WRONG_INCARNATION, f"agent has incarnation {self._incarnation}")
         fields: dict[str, object] = {"peer": peer, "incarnation": start.agent_incarnation}
         return Refusal(failure, LogEvent(events.WRONG_INCARNATION, fields))
 
@@ -159,4 +159,4 @@
         current = self._calls.by_stream(connection, start.stream)
         if current is not None and current.start.attempt_id == start.attempt_id:
             return Refusal(None, log)
-        return Refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, "this attempt arrived before"), log)
+        return Refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, "attempt was received before"), log)
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -5,7 +5,7 @@
 its proxy cancels is answered as well: the proxy learns whether it had begun.
 
 Bodies in parts: a proxy sends of a body what ``CallCredit`` asks for, and nothing before the queue
-has room for its call; see ``body_credit``. Long answers go the other way, see ``answer_sender``.
+has room for its call; see ``body_credit``. Long answers go the other way, see ``response_sender``.
 """
 
 from __future__ import annotations
@@ -17,14 +17,12 @@
 from msgspec.structs import replace
 
 from limelever.agent import answers, events, failures
-from limelever.agent.answer_link import NO_ROOM, AnswerLink, AnswerTimes
-from limelever.agent.answer_sender import AnswerSender
 from limelever.agent.answers import NO_CRASH
 from limelever.agent.backend_watch import BackendWatch, Seen
+from limelever.agent.call_receiver import BodyLimits, CallReceiver, Refusal
 from limelever.agent.calls import Call, CallStage, CallTable, Orphaned
 from limelever.agent.crash_watch import HeldCall
 from limelever.agent.fair_queue import Eviction, FairQueue, QueueLimits
-from limelever.agent.intake import BodyLimits, CallIntake, Refusal
 from limelever.agent.interface import (
     AttemptAnswered,
     AttemptFailed,
@@ -32,6 +30,8 @@
     CancelAttempt,
 )
 from limelever.agent.replies import Replies, crash_log
+from limelever.agent.response_pacer import NO_LINK_CAPACITY, CallTiming, ResponsePacer
+from limelever.agent.response_sender import ResponseSender
 from limelever.agent.version_tally import VersionCount
 from limelever.common.deadlines import earliest
 from limelever.common.decision_log import DecisionLogSettings
@@ -71,10 +71,10 @@
         self._limits = limits
         self._calls = CallTable()
         bodies = BodyLimits(limits.max_body_bytes, limits.assembling_bytes, limits.link_rate)
-        self._intake = CallIntake(service, incarnation, bodies, self._calls)
+        self._intake = CallReceiver(service, incarnation, bodies, self._calls)
         self._queue = FairQueue(limits.queue)
-        self._link = AnswerLink(limits.link_rate)
-        self._answers = AnswerSender(self._link)
+        self._link = ResponsePacer(limits.link_rate)
+        self._answers = ResponseSender(self._link)
         self.backend = BackendWatch(generator)
         self.versions = versions or VersionCount(service, "", "")
         self._replies = Replies(self._queue, limits.queue.slots, limits.log)
@@ -112,7 +112,7 @@
 
     def pace(self, now: float) -> int:
         """Return how long work takes at the back end now, 1000 as usual; 0 if not known."""
-        return self._replies.pace.now(now)
+        return self._replies.pace.current(now)
 
     @property
     def unfinished(self) -> int:
@@ -138,7 +138,7 @@
     ) -> list[Output]:
         """Take a call in, or refuse it."""
         self._replies.now = now
-        call = self._intake.open(connection, peer, start, now, self.draining)
+        call = self._intake.accept(connection, peer, start, now, self.draining)
         if isinstance(call, Refusal):
             logs: list[Output] = [call.log] if call.log is not None else []
             if call.failure is None:
@@ -149,22 +149,22 @@
         held_up = self._held_up_by_link(call, now)
         if held_up is not None:
             return self._refuse(call, held_up)
-        self._link.expect(call.number, start.group)
+        self._link.reserve(call.number, start.group)
         if start.end:
             return self._admit(call, now)
         failure = self._intake.check_body(call)
         if failure is None and start.awaits_credit:
-            whole_after = self._intake.expected_time(start)
+            whole_after = self._intake.transfer_time(start)
             failure = self._queue.check(call.queued(now), now, whole_after)
         if failure is not None:
             return self._refuse(call, failure)
-        self._intake.ask_for(call)
+        self._intake.request_body(call)
         return []
 
     def body(self, connection: ConnectionId, message: CallBody, now: float) -> list[Output]:
         """Take a part of a body; parts for unknown streams are late and dropped."""
         call = self._calls.by_stream(connection, message.stream)
-        if call is None or not self._intake.holds(call):
+        if call is None or not self._intake.is_assembling(call):
             return []
         failure = self._intake.add(call, message, now)
         if failure is not None:
@@ -183,11 +183,11 @@
 
     def send_on(self, now: float) -> list[Output]:
         """Send the parts of long answers whose turn it is on the link."""
-        return self._answers.send_on(now) if self._answers.count else []
+        return self._answers.send_paced(now) if self._answers.count else []
 
     def credit(self, connection: ConnectionId, message: CallCredit) -> list[Output]:
         """Send more of a long answer."""
-        return self._answers.credit(connection, message.stream, message.bytes)
+        return self._answers.add_credit(connection, message.stream, message.bytes)
 
     def cancel(self, connection: ConnectionId, message: CallCancel) -> list[Output]:
         """End a call that its proxy no longer wants, and say whether it had begun."""
@@ -377,7 +377,7 @@
         )
 
     def _admit(self, call: Call, now: float) -> list[Output]:
-        self._intake.close(call)
+        self._intake.release(call)
         asked_for = call.start.awaits_credit
         offered = self._queue.offer(call.queued(now), now, prechecked=asked_for)
         if isinstance(offered, Failure):
@@ -399,20 +399,20 @@
         return self._replies.failed(call.connection, call.start, failure)
 
     def _withdraw(self, call: Call) -> None:
-        self._intake.close(call)
+        self._intake.release(call)
         self._queue.remove(call.number)
         self._forget(call)
 
     def _forget(self, call: Call) -> None:
-        self._link.settle(call.number)
+        self._link.release(call.number)
         self._calls.remove(call)
 
     def _held_up_by_link(self, call: Call, now: float) -> Failure | None:
         """Return why a call's answer would be through the link too late; NOT RUN."""
         group = call.start.group
         service_time = self._queue.service_time_of(group)
-        times = AnswerTimes(call.target, call.deadline, service_time)
-        late = self._link.too_late_by(group, times, now)
+        times = CallTiming(call.target, call.deadline, service_time)
+        late = self._link.lateness(group, times, now)
         if not late:
             return None
-        return Failure(ErrorKind.DEADLINE_TOO_SHORT, NO_ROOM, retry_after=late)
+        return Failure(ErrorKind.DEADLINE_TOO_SHORT, NO_LINK_CAPACITY, retry_after=late)
--- a/src/limelever/agent/cold_start.py
+++ b/src/limelever/agent/cold_start.py
@@ -1,4 +1,4 @@
-"""Holds the registration back until the back end is warm."""
+"""Delays the registration of the endpoint until the backend is ready."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 
 class ColdStart:
-    """Ends with the first health probe that passes, or after ``limit`` seconds.
+    """Ends with the first successful health probe, or after ``limit`` seconds.
 
-    Probes lag and mislead, so they may delay the registration and never prevent it. Once the
-    cold start is over, a probe that changes its answer is only logged.
+    Probes can fail for a backend that works, so they delay the registration but never prevent it.
+    After the cold start, a change of the probe result is only logged.
     """
 
     def __init__(self, limit: float) -> None:
         self._limit = limit
-        self._ends: float | None = None
+        self._deadline: float | None = None
         self._healthy: bool | None = None
 
     def begin(self, now: float) -> None:
-        """Begin at ``now`` (seconds, monotonic)."""
-        self._ends = now + self._limit
+        """Start the cold start period at ``now`` (seconds, monotonic)."""
+        self._deadline = now + self._limit
 
     def next_deadline(self) -> float | None:
         """Return when the cold start ends at the latest; ``None`` once it is over."""
-        return self._ends
+        return self._deadline
 
-    def probed(self, healthy: bool) -> LogEvent | None:
-        """Take a probe's answer; return what is to be logged."""
+    def observe_probe(self, healthy: bool) -> LogEvent | None:
+        """Handle a probe result; return the event to log, if any."""
         previous, self._healthy = self._healthy, healthy
-        if self._ends is None:
+        if self._deadline is None:
             changed = previous is not healthy
             fields: dict[str, object] = {"healthy": healthy}
             return LogEvent(events.BACKEND_PROBE_CHANGED, fields) if changed else None
         if not healthy:
             return None
-        self._ends = None
+        self._deadline = None
         return LogEvent(events.BACKEND_READY)
 
     def expire(self, now: float) -> LogEvent | None:
-        """Return what is to be logged if the limit ends the cold start at ``now``."""
-        if self._ends is None or now < self._ends:
+        """End the cold start if its limit is reached; return the event to log, if any."""
+        if self._deadline is None or now < self._deadline:
             return None
-        self._ends = None
+        self._deadline = None
         return LogEvent(events.COLD_START_LIMIT, {"seconds": self._limit})
 
     @property
     def over(self) -> bool:
         """Return whether the endpoint may be registered."""
-        return self._ends is None
+        return self._deadline is None
--- a/src/limelever/agent/core.py
+++ b/src/limelever/agent/core.py
@@ -211,7 +211,7 @@
             case BackendChecked(reach):
                 return self._calls.backend_checked(reach, now)
             case BackendProbed(healthy):
-                return self._warm(self._cold_start.probed(healthy), now)
+                return self._warm(self._cold_start.observe_probe(healthy), now)
             case DrainRequested():
                 return self._begin_drain(now)
             case BackendGone():
--- a/src/limelever/agent/health_answer.py
+++ b/src/limelever/agent/health_answer.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from limelever.agent.load_header import slots_in
+from limelever.agent.load_header import parse_slots
 from limelever.common.http_headers import HeaderNames, value_of
 from limelever.common.http_messages import HttpAnswer
 
@@ -22,4 +22,4 @@
     instance = value_of(headers, names.instance).decode("ascii", "replace")
     if not 200 <= answer.status < 300 or not instance:
         return None
-    return FoundInstance(instance, slots_in(headers, names))
+    return FoundInstance(instance, parse_slots(headers, names))
--- a/src/limelever/agent/load_header.py
+++ b/src/limelever/agent/load_header.py
@@ -1,35 +1,35 @@
-"""The header with which a back end tells its load: running, waiting, slots, and its pace now.
+"""Parses the load header of backend responses.
 
-Numbers divided by commas; the pace is how long work takes there at this moment, 100 as usual.
+Its value is a comma-separated list of numbers: running requests, waiting requests, slots, and the
+pace in percent: current processing time relative to the usual, 100 is normal and higher is slower.
 """
 
 from __future__ import annotations
 
 from limelever.common.http_headers import HeaderNames, Headers, value_of
 
-_SLOTS_PLACE = 2
-_PACE_PLACE = 3
-"""Places among the numbers, from 0 on."""
+_SLOTS_INDEX = 2
+_PACE_INDEX = 3
 
-_DIGITS = 9
-"""Digits of a number that is believed; the language converts no more than 4,300."""
+_MAX_DIGITS = 9
+"""Longest number accepted; Python limits the length of integers it parses from text."""
 
-_PERMILLE_OF_PERCENT = 10
+_PERMILLE_PER_PERCENT = 10
 
 
-def slots_in(headers: Headers, names: HeaderNames) -> int:
-    """Return the slots that an answer tells, 0 where it doesn't; names are in lower case."""
-    return _number(headers, names, _SLOTS_PLACE)
+def parse_slots(headers: Headers, names: HeaderNames) -> int:
+    """Return the slots reported in a response, 0 if absent; header names in lower case."""
+    return _parse_number(headers, names, _SLOTS_INDEX)
 
 
-def pace_in(headers: Headers, names: HeaderNames) -> int:
-    """Return the pace that an answer tells, 1000 as usual, 0 where it doesn't."""
-    return _number(headers, names, _PACE_PLACE) * _PERMILLE_OF_PERCENT
+def parse_pace(headers: Headers, names: HeaderNames) -> int:
+    """Return the pace reported in a response in permille, 0 if absent; 1000 is normal."""
+    return _parse_number(headers, names, _PACE_INDEX) * _PERMILLE_PER_PERCENT
 
 
-def _number(headers: Headers, names: HeaderNames, place: int) -> int:
+def _parse_number(headers: Headers, names: HeaderNames, index: int) -> int:
     numbers = value_of(headers, names.load).split(b",")
-    number = numbers[place].strip() if len(numbers) > place else b""
-    if not number.isdigit() or len(number) > _DIGITS:
+    number = numbers[index].strip() if len(numbers) > index else b""
+    if not number.isdigit() or len(number) > _MAX_DIGITS:
         return 0
     return int(number)
--- a/src/limelever/agent/load_reports.py
+++ b/src/limelever/agent/load_reports.py
@@ -1,4 +1,4 @@
-"""When the agent tells its relay how many calls it has: at changes, and now and then anyway."""
+"""Decides when the agent reports its load to its relay: on change, and repeatedly while loaded."""
 
 from __future__ import annotations
 
@@ -7,56 +7,57 @@
 from limelever.protocol.endpoint_hash import LARGEST_LOAD
 from limelever.protocol.endpoints_pb2 import LoadReport
 
-LEAST_INTERVAL = 0.1
-"""Seconds between two reports: about a short call's time, so that most calls that another proxy
-sends are known before the next is. A message costs the node and its relay some 0.1 ms each."""
+MIN_INTERVAL_SECONDS = 0.1
+"""Minimum time between two reports; each costs CPU time at the relay and the zone's proxies."""
 
-LEAST_CHANGE = 2
-"""Calls by which a load must differ from the one told to be news; that there are none any more is
-as well. On a fleet of 83 nodes under bursts a control process took 0.144 of a core while each call
-was told, so 0.129, a node 0.053 and 0.051, with as many requests served (a day each)."""
+MIN_LOAD_CHANGE = 2
+"""Minimum change of the load in calls that triggers a report; a change to 0 always does."""
 
-LEAST_PACE_CHANGE = 500
-"""Thousandths by which a pace must differ from the one told to be news: half of the usual time."""
+MIN_PACE_CHANGE_PERMILLE = 500
+"""Minimum change of the pace that triggers a report."""
 
-USUAL_PACE = 1000
+NORMAL_PACE_PERMILLE = 1000
 
-REPEAT_INTERVAL = 0.5
-"""Seconds after which a load is told again whatever it is: readers let it fade."""
+REPEAT_INTERVAL_SECONDS = 0.5
+"""Time after which an unchanged load is reported again, because receivers let it expire."""
 
 
-class LoadReports:
-    """Decides when the load goes out; times in seconds.
+class LoadReporter:
+    """Tracks the load and the last report; times in seconds.
 
-    That a back end has fallen silent, and that it is back, is told at once.
+    A change to or from an unresponsive backend is reported immediately.
     """
 
     def __init__(self) -> None:
         self._load = 0
-        self._told = 0
-        self._told_at = -math.inf
-        self._pace = self._told_pace = USUAL_PACE
+        self._reported_load = 0
+        self._reported_at = -math.inf
+        self._pace = self._reported_pace = NORMAL_PACE_PERMILLE
 
-    def take(self, load: int, now: float, pace: int = 0) -> LoadReport | None:
-        """Take the load and the pace as they are now; return the report that is due.
+    def update(self, load: int, now: float, pace: int = 0) -> LoadReport | None:
+        """Set the current load and pace; return the report if one is due.
 
-        A ``pace`` of 0 is not known, and counts as usual.
+        A ``pace`` of 0 means unknown and counts as normal.
         """
-        self._load, self._pace = load, pace or USUAL_PACE
+        self._load, self._pace = load, pace or NORMAL_PACE_PERMILLE
         due = self.next_deadline()
         if due is None or now < due:
             return None
-        self._told, self._told_at, self._told_pace = load, now, self._pace
+        self._reported_load, self._reported_at, self._reported_pace = load, now, self._pace
         return LoadReport(load=load, pace_permille=pace)
 
     def next_deadline(self) -> float | None:
-        """Return when a report is due, ``None`` while nothing needs to be told."""
-        if self._load != self._told and LARGEST_LOAD in (self._load, self._told):
+        """Return when the next report is due, ``None`` if there is nothing to report."""
+        if self._load != self._reported_load and LARGEST_LOAD in (self._load, self._reported_load):
             return -math.inf
-        ended = self._told > 0 and not self._load
-        if ended or self._pace_is_news() or abs(self._load - self._told) >= LEAST_CHANGE:
-            return self._told_at + LEAST_INTERVAL
-        return self._told_at + REPEAT_INTERVAL if self._load else None
-
-    def _pace_is_news(self) -> bool:
-        return abs(self._pace - self._told_pace) >= LEAST_PACE_CHANGE
+        became_idle = self._reported_load > 0 and not self._load
+        if (
+            became_idle
+            or self._pace_changed()
+            or abs(self._load - self._reported_load) >= MIN_LOAD_CHANGE
+        ):
+            return self._reported_at + MIN_INTERVAL_SECONDS
+        return self._reported_at + REPEAT_INTERVAL_SECONDS if self._load else None
+
+    def _pace_changed(self) -> bool:
+        return abs(self._pace - self._reported_pace) >= MIN_PACE_CHANGE_PERMILLE
--- a/src/limelever/agent/pace.py
+++ b/src/limelever/agent/pace.py
@@ -1,33 +1,33 @@
-"""How long work takes at a back end now, as its answers tell it.
+"""Tracks the backend's pace: its current processing time relative to the usual, from responses.
 
-Load: instances share their machines with others, so that work takes twice or thrice its usual time
-there for some tenths of a second; what is older says nothing of the next call.
+Instances share machines with other workloads, so processing times can multiply for fractions of a
+second. Older observations do not predict the next call.
 """
 
 from __future__ import annotations
 
 import math
 
-FRESH_SECONDS = 0.5
-"""Age from which a pace counts as not known: some calls' time."""
+MAX_AGE_SECONDS = 0.5
+"""Age from which a reported pace counts as unknown."""
 
-LARGEST_PERMILLE = 10_000
-"""Largest pace that is believed: more than that is a fault of another kind."""
+MAX_PERMILLE = 10_000
+"""Upper bound for reported values."""
 
 
-class Pace:
-    """The pace told last; times in monotonic seconds, paces in thousandths of the usual time."""
+class PaceTracker:
+    """The last reported pace in permille, 1000 is normal; times in monotonic seconds."""
 
     def __init__(self) -> None:
         self._permille = 0
-        self._told_at = -math.inf
+        self._observed_at = -math.inf
 
     def observe(self, permille: int, now: float) -> None:
-        """Take the pace that came with an answer; 0 stands for none."""
+        """Record the pace reported with a response; 0 means none."""
         if permille:
-            self._permille = min(permille, LARGEST_PERMILLE)
-            self._told_at = now
+            self._permille = min(permille, MAX_PERMILLE)
+            self._observed_at = now
 
-    def now(self, now: float) -> int:
-        """Return the pace, 0 where it isn't known."""
-        return self._permille if now - self._told_at < FRESH_SECONDS else 0
+    def current(self, now: float) -> int:
+        """Return the pace, 0 if unknown."""
+        return self._permille if now - self._observed_at < MAX_AGE_SECONDS else 0
--- a/src/limelever/agent/registration.py
+++ b/src/limelever/agent/registration.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from limelever.agent import events
-from limelever.agent.load_reports import LoadReports
+from limelever.agent.load_reports import LoadReporter
 from limelever.agent.own_endpoint import OwnEndpoint
 from limelever.common.backoff import Backoff, BackoffSettings
 from limelever.common.sansio import (
@@ -106,7 +106,7 @@
         self._phase = _Phase.HELD_BACK
         self._endpoint = OwnEndpoint(_endpoint_of(settings, incarnation))
         self._in_flight = 0
-        self._loads = LoadReports()
+        self._loads = LoadReporter()
         self._connection: ConnectionId | None = None
         self._due: float | None = None
         self._lease = 0.0
@@ -166,7 +166,7 @@
         self._in_flight = in_flight
         if not self.leased or self._connection is None:
             return []
-        report = self._loads.take(load, now, pace)
+        report = self._loads.update(load, now, pace)
         return [SendMessage(self._connection, report)] if report is not None else []
 
     def tell_crashes(self, news: Sequence[CrashNews], now: float) -> list[Output]:
--- a/src/limelever/agent/replies.py
+++ b/src/limelever/agent/replies.py
@@ -7,7 +7,7 @@
 from limelever.agent import answers, events
 from limelever.agent.calls import Call
 from limelever.agent.fair_queue import FairQueue
-from limelever.agent.pace import Pace
+from limelever.agent.pace import PaceTracker
 from limelever.common.decision_log import DecisionLog, DecisionLogSettings
 from limelever.common.errors import Failure
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
@@ -25,7 +25,7 @@
 
     def __init__(self, queue: FairQueue, slots: int, log: DecisionLogSettings) -> None:
         self._queue = queue
-        self.pace = Pace()
+        self.pace = PaceTracker()
         self._slots = slots
         self._log = DecisionLog(log)
         self.draining = False
@@ -40,7 +40,7 @@
             draining=self.draining,
             service_us=int(self._queue.service_time * _MICROSECONDS),
             route_service_us=int(self._queue.service_time_of(group) * _MICROSECONDS),
-            pace_permille=self.pace.now(self.now),
+            pace_permille=self.pace.current(self.now),
         )
 
     def failed(
--- a/src/limelever/agent/answer_reader.py
+++ b/src/limelever/agent/response_parser.py
@@ -1,4 +1,4 @@
-"""Reads one answer of a back end from bytes, sans-io, by httptools' compiled parser."""
+"""Sans-io parser for one HTTP/1.1 response of the backend, based on httptools."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 _NO_BODY = frozenset({204, 304})
 
 
-class _EndOfAnswerError(Exception):
-    """Leaves the parser from within a callback: the answer is whole, or can't be taken."""
+class _StopParsingError(Exception):
+    """Aborts httptools from a callback: the response is complete or invalid."""
 
 
-class AnswerReader:
-    """Reads the answer to one request; answers of statuses below 200 before it are skipped.
+class ResponseParser:
+    """Parses the response to one request, skipping informational (1xx) responses.
 
-    ``answer`` is set once it is whole, ``failure`` once it can't be taken. ``reusable`` says then
-    whether the connection may carry another request: nothing came behind the answer, and neither
-    side closes.
+    ``response`` is set once it is complete, ``failure`` if it is invalid or incomplete.
+    ``reusable`` then tells whether the connection can carry another request: no surplus data was
+    received and neither side closes it.
     """
 
     def __init__(self, method: bytes, max_bytes: int) -> None:
-        self.answer: HttpAnswer | None = None
+        self.response: HttpAnswer | None = None
         self.failure: Failure | None = None
         self.connection_ended = False
         self.reusable = False
@@ -46,37 +46,37 @@
         self._body_bytes = 0
 
     @property
-    def ended(self) -> bool:
-        """Return whether no more is to be read."""
-        return self.answer is not None or self.failure is not None
+    def finished(self) -> bool:
+        """Return whether a response or a failure is available."""
+        return self.response is not None or self.failure is not None
 
     def feed(self, data: bytes) -> None:
-        """Read bytes of the back end."""
+        """Parse bytes received from the backend."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("the back end changed the protocol")
+            self._fail("backend switched protocols")
         except httptools.HttpParserError as error:
-            if self.answer is not None:
+            if self.response is not None:
                 self.reusable = False
             elif self.failure is None:
-                self._fail(f"the answer is none in HTTP: {error}")
+                self._fail(f"invalid HTTP response: {error}")
 
-    def closed(self) -> None:
-        """Take note that the back end has closed; an answer without a length is whole now."""
-        if self.ended:
+    def handle_close(self) -> None:
+        """Handle end of stream; it completes a response that has no length."""
+        if self.finished:
             return
         if self._until_close and not self._in_head:
             self._complete()
         else:
             self.connection_ended = True
-            self._fail("the back end closed the connection before its answer was whole")
+            self._fail("backend closed the connection before its response was complete")
 
-    def broken(self, reason: str) -> None:
-        """Take note that the connection broke; an answer without a length is not whole then."""
-        if not self.ended:
+    def handle_error(self, reason: str) -> None:
+        """Handle a connection error; a response without a length is incomplete then."""
+        if not self.finished:
             self.connection_ended = True
-            self._fail(f"the connection broke: {reason}")
+            self._fail(f"connection failed: {reason}")
 
     def _fail(self, reason: str) -> None:
         self.reusable = False
@@ -84,24 +84,24 @@
 
     def _complete(self) -> None:
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
-        self.answer = HttpAnswer(self._status, tuple(self._headers), body)
+        self.response = HttpAnswer(self._status, tuple(self._headers), body)
 
-    # --- the parser's callbacks; their names are httptools' ------------------------------------
+    # --- httptools callbacks ----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one behind the whole answer belongs to no request."""
-        if self.ended:
-            raise _EndOfAnswerError
+        """Begin a response; one after the complete response belongs to no request."""
+        if self.finished:
+            raise _StopParsingError
         self._in_head = True
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field; those behind the body are dropped."""
+        """Add a header field; trailer fields are dropped."""
         if self._in_head:
             self._headers.append((name.lower(), value.rstrip(_OPTIONAL_SPACE)))
 
     def on_headers_complete(self) -> None:
-        """Find out how the body ends (RFC 9112, section 6.3)."""
+        """Determine the body framing (RFC 9112, section 6.3)."""
         self._in_head = False
         self._status = self._parser.get_status_code()
         if self._status < _FIRST_FINAL_STATUS:
@@ -109,27 +109,27 @@
         headers = tuple(self._headers)
         coding = value_of(headers, _TRANSFER_ENCODING).lower()
         if coding not in (b"", _CHUNKED):
-            self._fail("the answer's transfer coding is not known")
-            raise _EndOfAnswerError
+            self._fail("unsupported transfer coding in response")
+            raise _StopParsingError
         if self._method == _HEAD:
             self._complete()
-            raise _EndOfAnswerError
+            raise _StopParsingError
         framed = coding or value_of(headers, _CONTENT_LENGTH) or self._status in _NO_BODY
         self._until_close = not framed
 
     def on_body(self, part: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         self._body_bytes += len(part)
         if self._body_bytes > self._max_bytes:
-            self._fail(f"answer over {self._max_bytes} bytes")
-            raise _EndOfAnswerError
+            self._fail(f"response body exceeds {self._max_bytes} bytes")
+            raise _StopParsingError
         self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """Take the answer as whole, unless it only announces another."""
+        """Complete the response, unless it is informational."""
         if self._status < _FIRST_FINAL_STATUS:
             if self._status == _SWITCHING_PROTOCOLS:
-                self._fail("the back end changed the protocol")
+                self._fail("backend switched protocols")
             return
         self._complete()
         self.reusable = self._parser.should_keep_alive()
--- a/src/limelever_lab/links/answer_model.py
+++ b/src/limelever_lab/links/answer_model.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from limelever.agent.answer_link import AnswerLink, AnswerTimes
+from limelever.agent.response_pacer import CallTiming, ResponsePacer
 from limelever_lab.bench.quantiles import Quantiles
 from limelever_lab.links.course import Event, LinkCourse
 
@@ -69,7 +69,7 @@
         self._load = load
         self._leaving = leaving
         self._course = LinkCourse(load.rate, load.seconds, seed)
-        self._link = AnswerLink(load.rate)
+        self._link = ResponsePacer(load.rate)
         self._began: dict[int, float] = {}
         self._left: dict[int, int] = {}
         self._turn_at = math.inf
@@ -98,7 +98,7 @@
     def _happen(self, event: Event) -> None:
         match event.step:
             case _Step.SHORT_ANSWER:
-                self._link.sent_at_once(SHORT_ANSWER_BYTES, event.at)
+                self._link.record_sent(SHORT_ANSWER_BYTES, event.at)
                 self._short.append(self._course.deliver(event.at, SHORT_ANSWER_BYTES) - event.at)
             case _Step.CALL:
                 self._come(event)
@@ -111,18 +111,18 @@
     def _come(self, event: Event) -> None:
         load, now = self._load, event.at
         self._calls += 1
-        times = AnswerTimes(now + load.target, now + load.deadline, load.service_time)
-        if self._leaving is Leaving.PACED and self._link.too_late_by(LONG, times, now):
+        times = CallTiming(now + load.target, now + load.deadline, load.service_time)
+        if self._leaving is Leaving.PACED and self._link.lateness(LONG, times, now):
             self._refused += 1
             return
         self._began[event.call] = now
-        self._link.expect(event.call, LONG)
+        self._link.reserve(event.call, LONG)
         size = max(1, round(load.answer_bytes * self._course.random.uniform(0.2, 1.8)))
         seconds = load.service_time * self._course.random.uniform(0.5, 1.5)
         self._course.plan(now + seconds, _Step.READY, event.call, size)
 
     def _ready(self, event: Event) -> None:
-        self._link.settle(event.call)
+        self._link.release(event.call)
         self._link.observe(LONG, event.size)
         if self._leaving is Leaving.PUSHED:
             self._end(event.call, self._course.deliver(event.at, event.size))
@@ -133,12 +133,12 @@
         self._take_turns(event.at)
 
     def _take_turns(self, now: float) -> None:
-        for part in self._link.parts(now):
+        for part in self._link.next_chunks(now):
             there = self._course.deliver(now, part.size)
-            self._left[part.answer] -= part.size
-            if not self._left[part.answer]:
-                self._end(part.answer, there)
-        turn = self._link.next_turn()
+            self._left[part.response] -= part.size
+            if not self._left[part.response]:
+                self._end(part.response, there)
+        turn = self._link.next_send_time()
         if turn is not None and turn < self._turn_at:
             self._turn_at = turn
             self._course.plan(turn, _Step.TURN)
--- a/src/limelever_lab/links/model.py
+++ b/src/limelever_lab/links/model.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from limelever.agent.body_credit import BodyCredit, Grant
+from limelever.agent.body_credit import BodyCreditScheduler, Grant
 from limelever_lab.bench.quantiles import Quantiles
 from limelever_lab.links.course import Event, LinkCourse
 
@@ -69,7 +69,7 @@
         self._load = load
         self._sending = sending
         self._course = LinkCourse(load.rate, load.seconds, seed)
-        self._credit = BodyCredit(load.rate)
+        self._credit = BodyCreditScheduler(load.rate)
         self._bodies: dict[int, _Body] = {}
         self._short: list[float] = []
         self._whole: list[float] = []
@@ -117,7 +117,7 @@
         body = self._bodies[event.call]
         body.missing -= event.size
         if self._sending is Sending.BY_CREDIT:
-            self._credit.arrived(event.call, event.size, event.at)
+            self._credit.received(event.call, event.size, event.at)
         if not body.missing:
             del self._bodies[event.call]
             self._credit.remove(event.call)
--- a/src/limelever_lab/losses/steps.py
+++ b/src/limelever_lab/losses/steps.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from limelever.agent.answer_link import NO_ROOM
+from limelever.agent.response_pacer import NO_LINK_CAPACITY
 from limelever.common.errors import ErrorKind, Outcome
 from limelever_lab.logs import Line
 
@@ -103,7 +103,7 @@
     kind = ErrorKind(fields["kind"])
     if not fields["attempts"]:
         return _EDGE_STEPS.get(kind, Step.EDGE)
-    if fields["reason"] == NO_ROOM:
+    if fields["reason"] == NO_LINK_CAPACITY:
         return Step.ANSWER
     return _STEPS.get(kind, Step.EDGE)
 
