--- a/features/steps/agent_answer_steps.py
+++ b/features/steps/agent_answer_steps.py
@@ -7,7 +7,7 @@
 import trio
 from behave import given, then, when
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.fair_queue import FairQueue, QueueLimits
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
@@ -87,7 +87,7 @@
             listeners = await nursery.start(trio.serve_tcp, back_end.handle, 0)
             port = listeners[0].socket.getsockname()[1]
             settings = BackendSettings(address=Address("127.0.0.1", port))
-            backend = Backend(settings, nursery, events.append, NAMES, b"instance-7")
+            backend = BackendClient(settings, nursery, events.append, NAMES, b"instance-7")
             for number, request_id in enumerate(ids, start=1):
                 headers = ((b"host", b"h"), (b"x-id", request_id), (b"x-instance", b"forged"))
                 backend.start(StartAttempt(number, "s", b"GET", b"/", headers, b"", 5.0))
@@ -445,7 +445,7 @@
             listeners = await nursery.start(trio.serve_tcp, answer_before_reading, 0)
             port = listeners[0].socket.getsockname()[1]
             settings = BackendSettings(address=Address("127.0.0.1", port))
-            backend = Backend(settings, nursery, events.append, NAMES)
+            backend = BackendClient(settings, nursery, events.append, NAMES)
             headers = ((b"host", b"h"), (b"x-id", b"one"))
             backend.start(StartAttempt(1, "s", b"POST", b"/", headers, bytes(size), 60.0))
             while not events:
--- a/features/steps/agent_backend_steps.py
+++ b/features/steps/agent_backend_steps.py
@@ -10,7 +10,7 @@
 from behave import then, when
 from behave.runner import Context
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.interface import (
     AttemptAnswered,
     StartAttempt,
@@ -56,7 +56,9 @@
             serve = partial(serve_one, arrived)
             nursery.start_soon(trio.serve_listeners, serve, [listener])
         address = Address("127.0.0.1", port)
-        backend = Backend(BackendSettings(address=address, max_response_bytes=1024), nursery, post)
+        backend = BackendClient(
+            BackendSettings(address=address, max_response_bytes=1024), nursery, post
+        )
         timeout = 30.0
         backend.start(StartAttempt(1, "orders", b"GET", target.encode(), (), b"", timeout))
         if target in ("/cancelled", "/slow"):
@@ -119,7 +121,9 @@
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = Address("127.0.0.1", listener.socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, server.serve, [listener])
-        backend = Backend(BackendSettings(address=address, connections=allowed), nursery, post)
+        backend = BackendClient(
+            BackendSettings(address=address, connections=allowed), nursery, post
+        )
         for number in range(count):
             await room.acquire()
             await trio.sleep(0.02 if at_once == 1 else 0.0)
@@ -174,7 +178,7 @@
         address = Address("127.0.0.1", listener.socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, serve, [listener])
         settings = BackendSettings(address=address, connections=1)
-        backend = Backend(settings, nursery, lambda event: both_ended.release())
+        backend = BackendClient(settings, nursery, lambda event: both_ended.release())
         for number in range(2):
             attempt = StartAttempt(number, "orders", b"GET", b"/ok", (), b"", float(patience))
             backend.start(attempt)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -10,8 +10,8 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from limelever.agent.backend import CHECK_SECONDS
-from limelever.agent.connections import BackendConnections
+from limelever.agent.backend_client import CHECK_TIMEOUT_SECONDS
+from limelever.agent.connection_pool import BackendConnectionPool
 from limelever.agent.interface import (
     AttemptAnswered,
     BackendChecked,
@@ -102,9 +102,9 @@
 
 @then("trying one says within {seconds:g} seconds that somebody is {there}")
 def trying_says(context: Context, seconds: float, there: str) -> None:
-    assert seconds == CHECK_SECONDS
+    assert seconds == CHECK_TIMEOUT_SECONDS
     refused = context.held_sockets[0].fileno() == -1
-    reached = trio.run(try_new, context.backend_address)
+    reached = trio.run(check_connect, context.backend_address)
     for held in context.held_sockets:
         held.close()
     assert (reached is not BackendReach.SILENT) is (there == "there")
@@ -116,7 +116,7 @@
     "is there"
 )
 def held_up_says(context: Context, seconds: float) -> None:
-    assert seconds > CHECK_SECONDS
+    assert seconds > CHECK_TIMEOUT_SECONDS
 
     async def hold_up() -> None:
         await trio.lowlevel.checkpoint()
@@ -125,7 +125,7 @@
     async def play() -> BackendReach:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(hold_up)
-            return await try_new(context.backend_address)
+            return await check_connect(context.backend_address)
 
     reached = trio.run(play)
     for held in context.held_sockets:
@@ -133,9 +133,9 @@
     assert reached is BackendReach.OPENED, reached
 
 
-async def try_new(address: Address) -> BackendReach:
-    connections = BackendConnections(BackendSettings(address=address))
+async def check_connect(address: Address) -> BackendReach:
+    pool = BackendConnectionPool(BackendSettings(address=address))
     try:
-        return await connections.try_new(CHECK_SECONDS)
+        return await pool.check_connect(CHECK_TIMEOUT_SECONDS)
     finally:
-        connections.close()
+        pool.close()
--- a/src/limelever/agent/backend.py
+++ b/src/limelever/agent/backend_client.py
@@ -1,4 +1,4 @@
-"""Trio shell for attempts: HTTP/1.1 to the back end beside the agent, over kept connections."""
+"""HTTP/1.1 client for the backend beside the agent, with pooled connections; built on trio."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 import trio
 from msgspec import Struct
 
-from limelever.agent.connections import BackendConnection, BackendConnections, keep_alive_seconds
+from limelever.agent.connection_pool import (
+    BackendConnection,
+    BackendConnectionPool,
+    keep_alive_seconds,
+)
 from limelever.agent.headers import encode_request, request_headers
 from limelever.agent.health_answer import FoundInstance, instance_in
 from limelever.agent.interface import (
@@ -32,26 +36,25 @@
 DEFAULT_NAMES = HeaderNames()
 _GET = b"GET"
 _RECEIVE_BYTES = 1 << 16
-CHECK_SECONDS = 0.15
-"""Time that a connection to the machine's own back end has to open; some hundred times the usual,
-so that a process that is held up is not taken for a silent one."""
+CHECK_TIMEOUT_SECONDS = 0.15
+"""Timeout of a connection check on the local machine; long enough for a busy backend process."""
 
-_BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError)
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 class _Attempt(Struct):
-    """A request under way; its scope ends at the attempt's deadline."""
+    """A request in progress; its cancel scope expires at the attempt's deadline."""
 
     scope: trio.CancelScope
     cancelled: bool = False
     sent_any_byte: bool = False
 
 
-class Backend:
-    """Carries attempts out; ``post`` gets exactly one event for each of them.
+class BackendClient:
+    """Sends attempts to the backend; ``post`` receives exactly one event for each.
 
-    An attempt is never sent a second time here: a kept connection that breaks under a request
-    is reported, and whoever knows whether the call may be repeated decides.
+    Attempts are never retried here: a pooled connection that breaks during a request is reported,
+    and the caller decides whether the request may be repeated.
     """
 
     def __init__(
@@ -69,10 +72,10 @@
         self._post = post
         self._host = str(settings.address).encode()
         self._attempts: dict[int, _Attempt] = {}
-        self._connections = BackendConnections(settings)
+        self._pool = BackendConnectionPool(settings)
 
     def carry_out(self, output: Output) -> None:
-        """Do what the core asks of its back end; other outputs are not meant for it."""
+        """Execute an output of the agent core; outputs not meant for the backend are ignored."""
         match output:
             case StartAttempt():
                 self.start(output)
@@ -82,102 +85,104 @@
                 self._nursery.start_soon(self._check, close_idle)
 
     def start(self, output: StartAttempt) -> None:
-        """Begin an attempt in the background."""
+        """Start an attempt in the background."""
         deadline = trio.current_time() + output.timeout
         attempt = _Attempt(trio.CancelScope(deadline=deadline))
         self._attempts[output.attempt] = attempt
-        self._nursery.start_soon(self._run, output, attempt)
+        self._nursery.start_soon(self._run_attempt, output, attempt)
 
     def cancel(self, attempt: int) -> None:
-        """Close an attempt's request; its event still follows. Unknown numbers are ignored."""
+        """Cancel an attempt; its event is still posted. Unknown numbers are ignored."""
         running = self._attempts.get(attempt)
         if running is not None:
             running.cancelled = True
             running.scope.cancel()
 
     async def probe(self, path: str, timeout: float) -> bool:
-        """Return whether a health probe is answered with a 2xx status within ``timeout``."""
-        answer = await self._ask(path, timeout)
-        return answer is not None and 200 <= answer.status < 300
+        """Return whether a health probe gets a 2xx response within ``timeout``."""
+        response = await self._send_probe(path, timeout)
+        return response is not None and 200 <= response.status < 300
 
     async def find_instance(self, path: str, timeout: float) -> FoundInstance | None:
-        """Return the instance that answers a health probe, if it is well and names itself."""
-        answer = await self._ask(path, timeout)
-        return instance_in(answer, self._names) if answer is not None else None
+        """Return the healthy instance that responds to a health probe, if it names itself."""
+        response = await self._send_probe(path, timeout)
+        return instance_in(response, self._names) if response is not None else None
 
     def close(self) -> None:
-        """Close the connections that no attempt uses."""
-        self._connections.close()
+        """Close the idle connections."""
+        self._pool.close()
 
-    async def _ask(self, path: str, timeout: float) -> HttpAnswer | None:
-        """Return the answer to a health probe, ``None`` if there is none within ``timeout``."""
+    async def _send_probe(self, path: str, timeout: float) -> HttpAnswer | None:
+        """Return the response to a health probe, ``None`` if there is none within ``timeout``."""
         with trio.move_on_after(timeout):
-            connection = await self._connections.acquire()
+            connection = await self._pool.acquire()
             if isinstance(connection, Failure):
                 return None
             request = encode_request(_GET, path.encode(), [(b"host", self._host)], b"")
             try:
-                answer = await self._converse(connection, _GET, request)
+                response = await self._round_trip(connection, _GET, request)
             finally:
-                self._connections.release(connection)
-            return None if isinstance(answer, Failure) else answer
+                self._pool.release(connection)
+            return None if isinstance(response, Failure) else response
         return None
 
     async def _check(self, close_idle: bool) -> None:
         if close_idle:
-            self._connections.close()
-        self._post(BackendChecked(await self._connections.try_new(CHECK_SECONDS)))
+            self._pool.close()
+        self._post(BackendChecked(await self._pool.check_connect(CHECK_TIMEOUT_SECONDS)))
 
-    async def _run(self, output: StartAttempt, attempt: _Attempt) -> None:
+    async def _run_attempt(self, output: StartAttempt, attempt: _Attempt) -> None:
         event: Event | None = None
         with attempt.scope:
-            event = await self._attempt(output, attempt)
+            event = await self._connect_and_send(output, attempt)
         if event is None:
-            event = AttemptFailed(output.attempt, _ended(attempt), attempt.sent_any_byte)
+            event = AttemptFailed(output.attempt, _interruption(attempt), attempt.sent_any_byte)
         del self._attempts[output.attempt]
         self._post(event)
 
-    async def _attempt(self, output: StartAttempt, attempt: _Attempt) -> Event:
-        connection = await self._connections.acquire()
+    async def _connect_and_send(self, output: StartAttempt, attempt: _Attempt) -> Event:
+        connection = await self._pool.acquire()
         if isinstance(connection, Failure):
             return AttemptFailed(output.attempt, connection, sent_any_byte=False)
         attempt.sent_any_byte = True
         try:
-            return await self._exchange(output, connection, _left_ms(attempt))
+            return await self._send_attempt(output, connection, _remaining_ms(attempt))
         finally:
-            self._connections.release(connection)
+            self._pool.release(connection)
 
-    async def _exchange(
-        self, output: StartAttempt, connection: BackendConnection, left_ms: int
+    async def _send_attempt(
+        self, output: StartAttempt, connection: BackendConnection, remaining_ms: int
     ) -> Event:
-        headers = request_headers(output, self._host, left_ms, self._names, self._instance)
+        headers = request_headers(output, self._host, remaining_ms, self._names, self._instance)
         request = encode_request(output.method, output.target, headers, output.body)
-        answer = await self._converse(connection, output.method, request)
-        if isinstance(answer, Failure):
+        response = await self._round_trip(connection, output.method, request)
+        if isinstance(response, Failure):
             return AttemptFailed(
-                output.attempt, answer, sent_any_byte=True, connection_ended=connection.ended
+                output.attempt, response, sent_any_byte=True, connection_ended=connection.ended
             )
-        connection.keep = min(connection.keep, keep_alive_seconds(answer.headers))
-        headers_kept = end_to_end(answer.headers)
-        return self._judged(output, connection, answer.status, headers_kept, answer.body)
+        connection.max_idle = min(connection.max_idle, keep_alive_seconds(response.headers))
+        end_to_end_headers = end_to_end(response.headers)
+        return self._classify_response(
+            output, connection, response.status, end_to_end_headers, response.body
+        )
 
-    async def _converse(
+    async def _round_trip(
         self, connection: BackendConnection, method: bytes, request: bytes
     ) -> HttpAnswer | Failure:
-        """Send a request and return its whole answer.
+        """Send a request and return its complete response.
 
-        An answer may come before a long request is sent whole; the connection is given up then.
+        A response may arrive before the request is sent completely; the connection is closed then.
         """
         parser = ResponseParser(method, self._settings.max_response_bytes)
-        rest = request[send_without_waiting(connection.stream, request) :]
-        if not rest:
-            await _read_answer(connection, parser)
+        unsent = request[send_without_waiting(connection.stream, request) :]
+        if not unsent:
+            await _read_response(connection, parser)
             connection.reusable = parser.reusable
         else:
             async with trio.open_nursery() as nursery:
                 sent = trio.Event()
-                nursery.start_soon(_send_rest, connection, rest, sent)
-                await _read_answer(connection, parser)
+                nursery.start_soon(_send_unsent, connection, unsent, sent)
+                await _read_response(connection, parser)
                 connection.reusable = parser.reusable and sent.is_set()
                 nursery.cancel_scope.cancel()
         connection.ended = parser.connection_ended
@@ -186,7 +191,7 @@
         assert parser.failure is not None
         return parser.failure
 
-    def _judged(
+    def _classify_response(
         self,
         output: StartAttempt,
         connection: BackendConnection,
@@ -194,26 +199,26 @@
         headers: Headers,
         body: bytes,
     ) -> Event:
-        """Return what a whole answer means for the attempt."""
+        """Return the event for a complete response."""
         if not matches_request(output.headers, headers, self._names):
             connection.reusable = False
-            failure = Failure(ErrorKind.BACKEND_FAILED, "the answer belongs to another request")
+            failure = Failure(ErrorKind.BACKEND_FAILED, "response belongs to another request")
             return AttemptFailed(output.attempt, failure, sent_any_byte=True)
         refusal = backend_refusal(status, headers, self._names)
         if refusal is not None:
             return AttemptFailed(output.attempt, refusal, sent_any_byte=True, refused=True)
-        unfounded = unconfirmed_refusal(status, self._names)
-        if unfounded is not None:
-            return AttemptFailed(output.attempt, unfounded, sent_any_byte=True)
+        unconfirmed = unconfirmed_refusal(status, self._names)
+        if unconfirmed is not None:
+            return AttemptFailed(output.attempt, unconfirmed, sent_any_byte=True)
         pace = parse_pace(headers, self._names)
         return AttemptAnswered(output.attempt, status, headers, body, pace)
 
 
-async def _read_answer(connection: BackendConnection, parser: ResponseParser) -> None:
+async def _read_response(connection: BackendConnection, parser: ResponseParser) -> None:
     while not parser.finished:
         try:
             data = await receive(connection.stream, _RECEIVE_BYTES)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             parser.handle_error(reason_of(error))
             return
         if data:
@@ -222,21 +227,21 @@
             parser.handle_close()
 
 
-async def _send_rest(connection: BackendConnection, rest: bytes, sent: trio.Event) -> None:
-    """Send the rest of a request; a break is left to the parser, an answer may have come first."""
+async def _send_unsent(connection: BackendConnection, unsent: bytes, sent: trio.Event) -> None:
+    """Send the rest of a request; errors are left to the reading side."""
     try:
-        await connection.stream.send_all(rest)
-    except _BROKEN:
+        await connection.stream.send_all(unsent)
+    except _CONNECTION_ERRORS:
         return
     sent.set()
 
 
-def _left_ms(attempt: _Attempt) -> int:
-    left = attempt.scope.deadline - trio.current_time()
-    return max(1, int(left * _MILLISECONDS))
+def _remaining_ms(attempt: _Attempt) -> int:
+    remaining = attempt.scope.deadline - trio.current_time()
+    return max(1, int(remaining * _MILLISECONDS))
 
 
-def _ended(attempt: _Attempt) -> Failure:
+def _interruption(attempt: _Attempt) -> Failure:
     if attempt.cancelled:
-        return Failure(ErrorKind.CANCELLED, "cancelled")
-    return Failure(ErrorKind.DEADLINE_EXCEEDED, "the back end did not answer")
+        return Failure(ErrorKind.CANCELLED, "attempt cancelled")
+    return Failure(ErrorKind.DEADLINE_EXCEEDED, "backend did not respond before the deadline")
--- a/src/limelever/agent/backend_watch.py
+++ b/src/limelever/agent/backend_monitor.py
@@ -1,4 +1,4 @@
-"""Whether the back end beside an agent is there: its silence, and the ends of its process."""
+"""Monitors the backend beside the agent for unresponsiveness and process crashes."""
 
 from __future__ import annotations
 
@@ -19,78 +19,79 @@
 from limelever.quarantine.evidence import Evidence, Suspected
 
 CRASH_BITS = 64
-"""Bits of the number by which one end of a process is told from another."""
+"""Size in bits of the random identifier of a crash."""
 
-_ENDED_FROM_HERE = frozenset({ErrorKind.CANCELLED, ErrorKind.DEADLINE_EXCEEDED})
+_ENDED_BY_AGENT = frozenset({ErrorKind.CANCELLED, ErrorKind.DEADLINE_EXCEEDED})
 
 
-class Seen(Struct, frozen=True):
-    """What the try of a connection showed.
+class CheckOutcome(Struct, frozen=True):
+    """Result of a connection check.
 
-    ``held`` are the calls whose connections broke and which can be answered now; ``crash`` numbers
-    the end of the process under ``suspects``. One that ended under no calls has fallen silent.
+    ``held`` are calls with a broken connection that can be answered now; ``crash`` identifies a
+    crash of the process during the requests in ``suspects``. A process that ended while no requests
+    were running counts as fallen silent.
     """
 
     held: tuple[HeldCall, ...] = ()
     crash: int = NO_CRASH
     suspects: tuple[Suspected, ...] = ()
     fell_silent: bool = False
-    is_back: bool = False
+    recovered: bool = False
 
 
-class BackendWatch:
-    """Follows one back end; times are seconds of the monotonic clock.
+class BackendMonitor:
+    """State of one backend; times are monotonic seconds.
 
-    One that leaves goes on with its calls until ``serves_until`` at least: that its process ends
-    before then is not planned.
+    A draining backend is expected to run at least until ``serves_until``; a process that ends
+    before then has crashed.
     """
 
     def __init__(self, generator: random.Random) -> None:
         self._generator = generator
         self._silence = BackendSilence()
         self._crashes = CrashWatch()
-        self._news: list[CrashNews] = []
+        self._crash_news: list[CrashNews] = []
         self.serves_until = math.inf
 
     @property
     def silent(self) -> bool:
-        """Return whether nobody answers there, so that calls go elsewhere."""
+        """Return whether the backend is unresponsive, so that calls go to other instances."""
         return self._silence.silent
 
     @property
     def undecided(self) -> bool:
-        """Return whether the process may just have ended, so that no further call is begun."""
+        """Return whether the process may have ended, so that no call is started for now."""
         return self._crashes.undecided
 
     def started(self, call: int, service_time: float, now: float) -> None:
-        """Take a call that was handed over; ``service_time`` is 0 if not known."""
+        """Record a call sent to the backend; ``service_time`` is 0 if unknown."""
         self._silence.started(call, service_time, now)
 
     def answered(self, call: int) -> None:
-        """Take a call that was answered."""
+        """Record that the backend responded to a call."""
         self._silence.ended(call, answered=True)
 
     def failed(self, event: AttemptFailed, failure: Failure, call: Call, now: float) -> bool:
-        """Take a call that was not answered; return whether its proxy has to wait for the reason.
+        """Record a failed call; return whether its proxy has to wait for the reason.
 
-        A connection that ended may be the end of the process: :meth:`checked` gives the call back.
+        A closed connection may mean that the process ended: :meth:`checked` returns the call then.
         """
         self._silence.ended(event.attempt, answered=event.refused)
         if event.connection_ended:
             self._crashes.lost(HeldCall(event.attempt, failure), call.suspected(), now)
         elif not event.sent_any_byte and event.failure.kind is ErrorKind.BACKEND_FAILED:
             self._crashes.not_opened(now)
-        elif failure.kind in _ENDED_FROM_HERE:
+        elif failure.kind in _ENDED_BY_AGENT:
             self._crashes.given_up(call.suspected(), now)
         return event.connection_ended
 
     def take_check(self, now: float) -> list[CheckBackend]:
-        """Return the try of a connection that is wanted now, if one is."""
+        """Return the connection check to make now, if any."""
         silenced, broken = self._silence.take_check(now), self._crashes.take_check(now)
         return [CheckBackend(close_idle=silenced)] if silenced or broken else []
 
-    def checked(self, reach: BackendReach, running: int, now: float) -> Seen:
-        """Take what became of a new connection while this many calls still run."""
+    def checked(self, reach: BackendReach, running: int, now: float) -> CheckOutcome:
+        """Handle the result of a connection check while ``running`` calls are in progress."""
         finding = self._crashes.checked(reach, running, now)
         ended = finding is Finding.ENDED and now < self.serves_until
         suspects = self._crashes.take_suspects(self._crashes.suspects_since) if ended else ()
@@ -101,14 +102,14 @@
             self._silence.process_ended(now)
         if self._silence.checking:
             fell_silent = self._silence.checked(reach, now) or fell_silent
-        is_back = was_silent and not self._silence.silent
+        recovered = was_silent and not self._silence.silent
         held = () if finding is Finding.UNDECIDED else tuple(self._crashes.take_held())
-        return Seen(held, crash, suspects, fell_silent, is_back)
+        return CheckOutcome(held, crash, suspects, fell_silent, recovered)
 
     def replaced(self, now: float) -> None:
-        """Take that another process has come without a word of the one before.
+        """Handle the start of another process without notice of the previous one ending.
 
-        An agent that was held up may have missed that connections were refused meanwhile.
+        A suspended agent may have missed the time in which connections were refused.
         """
         if now >= self.serves_until:
             return
@@ -116,17 +117,17 @@
         if suspects:
             self._report(suspects, now)
 
-    def take_news(self) -> list[CrashNews]:
-        """Return what relays are to be told of the back end's process, once."""
-        news, self._news = self._news, []
-        return news
+    def take_crash_news(self) -> list[CrashNews]:
+        """Return the crash reports not yet sent to relays, once."""
+        crash_news, self._crash_news = self._crash_news, []
+        return crash_news
 
     def next_deadline(self) -> float | None:
-        """Return when a connection is to be tried, ``None`` while there is no need."""
+        """Return when a connection check is due, ``None`` if there is no need."""
         return earliest(self._silence.next_deadline(), self._crashes.next_deadline())
 
     def _report(self, suspects: Sequence[Suspected], now: float) -> int:
         crash = self._generator.getrandbits(CRASH_BITS)
         evidence = Evidence()
-        self._news.append(evidence.news(evidence.crashed(suspects, crash, now), now))
+        self._crash_news.append(evidence.news(evidence.crashed(suspects, crash, now), now))
         return crash
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -18,7 +18,7 @@
 
 from limelever.agent import answers, events, failures
 from limelever.agent.answers import NO_CRASH
-from limelever.agent.backend_watch import BackendWatch, Seen
+from limelever.agent.backend_monitor import BackendMonitor, CheckOutcome
 from limelever.agent.call_receiver import BodyLimits, CallReceiver, Refusal
 from limelever.agent.calls import Call, CallStage, CallTable, Orphaned
 from limelever.agent.crash_watch import HeldCall
@@ -75,7 +75,7 @@
         self._queue = FairQueue(limits.queue)
         self._link = ResponsePacer(limits.link_rate)
         self._answers = ResponseSender(self._link)
-        self.backend = BackendWatch(generator)
+        self.backend = BackendMonitor(generator)
         self.versions = versions or VersionCount(service, "", "")
         self._replies = Replies(self._queue, limits.queue.slots, limits.log)
 
@@ -255,8 +255,8 @@
         self._queue.finish(call.number, now, representative=False)
         failure = answers.attempt_failure(event)
         if failure.kind is ErrorKind.BACKEND_REFUSED:
-            retry_after = self._queue.retry_after_backend_refusal(call.start.group, now)
-            failure = replace(failure, retry_after=retry_after)
+            advice = self._queue.retry_after_backend_refusal(call.start.group, now)
+            failure = replace(failure, retry_after=advice)
         if self.backend.failed(event, failure, call, now):
             return self.start_waiting(now)
         return [*self._end(call, failure), *self.start_waiting(now)]
@@ -301,7 +301,7 @@
             fields: dict[str, object] = {"running": self.running, "queued": self.waiting}
             outputs.append(LogEvent(events.BACKEND_SILENT, fields))
             return [*outputs, *self.refuse_waiting(failures.SILENT), *self._give_up_repeatable()]
-        if seen.is_back:
+        if seen.recovered:
             outputs.append(LogEvent(events.BACKEND_BACK))
         return outputs if self.backend.silent else [*outputs, *self.start_waiting(now)]
 
@@ -334,7 +334,7 @@
             outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         return outputs
 
-    def _ended(self, seen: Seen) -> list[Output]:
+    def _ended(self, seen: CheckOutcome) -> list[Output]:
         """Tell under which requests the back end's process ended, and give back what waits."""
         log = crash_log(seen.crash, seen.suspects, self.waiting)
         return [log, *self.refuse_waiting(failures.SILENT)]
--- a/src/limelever/agent/core.py
+++ b/src/limelever/agent/core.py
@@ -161,7 +161,7 @@
             return outputs
         outputs.extend(self._calls.ask_for_bodies(now))
         outputs.extend(self._calls.send_on(now))
-        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_crash_news(), now))
         outputs.extend(self._registration.handle(event, now))
         tally = self._versions.take_news(now)
         outputs.extend(self._registration.tell_tally(tally) if tally is not None else [])
@@ -323,7 +323,7 @@
         self._finished = True
         cut_off = self._calls.running
         outputs = [*self._calls.refuse_waiting(), *self._calls.cut_off()]
-        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_crash_news(), now))
         outputs.extend(self._registration.end(now))
         if self._subscriber is not None:
             outputs.extend(self._subscriber.stop(now))
--- a/src/limelever/agent/process.py
+++ b/src/limelever/agent/process.py
@@ -9,7 +9,7 @@
 import trio
 from msgspec.structs import replace
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.call_service import CallLimits
 from limelever.agent.core import AgentCore, AgentOptions
 from limelever.agent.drain import DrainLimits
@@ -145,7 +145,9 @@
 
         runner = shell.add_core(core, on_output, accepts=[Purpose.CALLS], disk=disk)
         names = settings.headers.names()
-        backend = Backend(settings.backend, nursery, runner.post, names, settings.name.encode())
+        backend = BackendClient(
+            settings.backend, nursery, runner.post, names, settings.name.encode()
+        )
         shell.report_version(lambda: core.version)
         shell.report_freshness(lambda: core.fresh_at)
         shell.reloading.handle("relays", lambda relays: runner.post(PublishersListed(relays)))
@@ -160,7 +162,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def _probe(backend: Backend, settings: ProbeSettings, runner: CoreRunner) -> None:
+async def _probe(backend: BackendClient, settings: ProbeSettings, runner: CoreRunner) -> None:
     while True:
         healthy = await backend.probe(settings.path, seconds(settings.timeout_ms))
         runner.post(BackendProbed(healthy))
--- a/src/limelever/node/agents.py
+++ b/src/limelever/node/agents.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.core import AgentCore
 from limelever.agent.health_answer import FoundInstance
 from limelever.agent.interface import (
@@ -142,7 +142,7 @@
     async def _look(self, path: str) -> None:
         settings = self._settings
         names = settings.headers.names()
-        backend = Backend(settings.backend, self._nursery, lambda _: None, names)
+        backend = BackendClient(settings.backend, self._nursery, lambda _: None, names)
         found: FoundInstance | None = None
         while found is None and not self._watch.instance and not self._stopping:
             found = await backend.find_instance(path, LOOK_TIMEOUT)
@@ -215,7 +215,9 @@
             listener.identity = replace(listener.identity, incarnation=incarnation)
             runner = self._shell.add_core(core, on_output, accepts=[Purpose.CALLS], role=Role.AGENT)
             names = settings.headers.names()
-            backend = Backend(settings.backend, nursery, runner.post, names, instance.encode())
+            backend = BackendClient(
+                settings.backend, nursery, runner.post, names, instance.encode()
+            )
             agent = self._current = _Agent(runner, finished, settings.version)
             await nursery.start(runner.run)
             if settings.version:
