--- a/features/agent/answers.feature
+++ b/features/agent/answers.feature
@@ -1,6 +1,6 @@
-Feature: An agent says truly what its back end's answer means
+Feature: An agent classifies back end responses, and refuses calls that would wait too long
 
-  Scenario Outline: An answer of another request, or a promise that was not made, is no answer
+  Scenario Outline: A response to another request, or an unconfirmed refusal, is a failure
     Given a back end that answers with <answer>
     When an agent's back-end client sends it a request with the id "one"
     Then the attempt <ends>
@@ -17,37 +17,37 @@
       | 429 and the id                      | fails as backend-failed, unknown   |
       | 500 and the id                      | is answered with 500               |
 
-  Scenario: A connection with an answer of another request is not used again
+  Scenario: A connection that carried a response to another request is not reused
     Given a back end that answers with 200 and another id
     When an agent's back-end client sends it a request with the id "one"
     And an agent's back-end client sends it a request with the id "two"
     Then the back end has seen 2 connections
 
-  Scenario: The mesh tells the back end instance, time and id
+  Scenario: The back end receives the instance, the time left and the request id
     Given a back end that answers with 200 and the id
     When an agent's back-end client sends it a request with the id "one"
     Then the back end was told the instance, the time left and the id, once each
 
-  Scenario Outline: Which calls are refused for their expected wait
-    Given a queue whose slots are full with calls of 600 ms, and 3 more calls of the group waiting
+  Scenario Outline: Calls are refused by their expected wait
+    Given a queue whose slots are busy with calls of 600 ms, and 3 calls of the new call's group waiting
     Then a call of <service> ms with <target> ms to its target and <deadline> ms to its deadline is <fate>
 
     Examples:
-      | service | target | deadline | fate    |
-      | 600     | 900    | 5000     | refused |
-      | 600     | 3000   | 5000     | taken   |
-      | 600     | 3000   | 900      | refused |
-      | 50      | 100    | 1000     | taken   |
-      | 50      | 100    | 150      | refused |
+      | service | target | deadline | fate     |
+      | 600     | 900    | 5000     | refused  |
+      | 600     | 3000   | 5000     | admitted |
+      | 600     | 3000   | 900      | refused  |
+      | 50      | 100    | 1000     | admitted |
+      | 50      | 100    | 150      | refused  |
 
   Scenario: Short calls of one route are not judged by the long calls of another
-    Given a queue full with calls of 880 ms on route long, with 4 more waiting, after short calls of 55 ms
+    Given a queue whose slots are busy with calls of 880 ms on route long, with 4 more waiting, after short calls of 55 ms
     When a call on route short with 200 ms to its target and 600 ms to its deadline is offered
     Then it is queued, and starts before the calls of route long
 
-  Scenario Outline: Short calls count as short however many of them there are
-    Given calls of 20 ms on one route and of 150 ms on another, <short> of 100 on the first
-    Then a call of 20 ms that waits 60 ms is taken with 120 ms to its target and 400 to its deadline
+  Scenario Outline: Short calls count as short even if most calls are short
+    Given calls of 20 ms on one route and of 150 ms on another, <short> percent on the first
+    Then a call of 20 ms that waits 60 ms is admitted with 120 ms to its target and 400 to its deadline
 
     Examples:
       | short |
@@ -55,62 +55,62 @@
       | 80    |
       | 95    |
 
-  Scenario: A wait is expected with what more urgent calls take meanwhile
+  Scenario: The expected wait includes slots taken by more urgent calls
     Given a queue of 12 slots where calls of 20 ms that are more urgent hold 6 slots on average
-    When calls of 150 ms with 500 ms to their target keep coming
-    Then those that are taken start within 225 ms
+    When calls of 150 ms with 500 ms to their target keep arriving
+    Then 90 percent of those that are admitted start within 225 ms
 
-  Scenario Outline: Which bytes are a whole answer, and whether their connection may go on
+  Scenario Outline: Response parsing decides on completeness and connection reuse
     When a back end answers a <method> with <bytes>
-    Then the answer <is>, and its connection <goes on>
+    Then the response <is>, and its connection <goes on>
 
     Examples:
       | method | bytes                                       | is            | goes on        |
-      | GET    | a length and the body                       | is whole      | may be kept    |
-      | GET    | chunks                                      | is whole      | may be kept    |
-      | GET    | chunks with a field behind them             | is whole      | may be kept    |
-      | GET    | a length, the body and more                 | is whole      | is given up    |
-      | GET    | a whole answer twice                        | is whole      | is given up    |
-      | GET    | a length, the body and word of its close    | is whole      | is given up    |
-      | GET    | the version 1.0                             | is whole      | is given up    |
-      | GET    | no length, ended by a close                 | is whole      | is given up    |
-      | GET    | no length, ended by a reset                 | is none       | is given up    |
-      | GET    | half of the body, ended by a close          | is none       | is given up    |
-      | GET    | half of the head, ended by a close          | is none       | is given up    |
-      | GET    | half of a chunk, ended by a close           | is none       | is given up    |
-      | GET    | a body over the limit                       | is none       | is given up    |
-      | GET    | two lengths                                 | is none       | is given up    |
-      | GET    | a coding that is not known                  | is none       | is given up    |
-      | GET    | bytes that are not HTTP                     | is none       | is given up    |
-      | GET    | another protocol                            | is none       | is given up    |
-      | GET    | word to go on and then the answer           | is whole      | may be kept    |
-      | GET    | no content                                  | is whole      | may be kept    |
-      | HEAD   | a length and no body                        | is whole      | is given up    |
-
-  Scenario: An answer that comes before the request was read is passed on at once
-    When an attempt sends 8 MiB to a back end that answers first and reads nothing
+      | GET    | a length and the body                       | is complete   | is reusable    |
+      | GET    | chunks                                      | is complete   | is reusable    |
+      | GET    | chunks with a trailer field                 | is complete   | is reusable    |
+      | GET    | a length, the body and more                 | is complete   | is closed      |
+      | GET    | a complete response twice                   | is complete   | is closed      |
+      | GET    | a length, the body and connection close     | is complete   | is closed      |
+      | GET    | the version 1.0                             | is complete   | is closed      |
+      | GET    | no length, ended by a close                 | is complete   | is closed      |
+      | GET    | no length, ended by a reset                 | is rejected   | is closed      |
+      | GET    | half of the body, ended by a close          | is rejected   | is closed      |
+      | GET    | half of the head, ended by a close          | is rejected   | is closed      |
+      | GET    | half of a chunk, ended by a close           | is rejected   | is closed      |
+      | GET    | a body over the limit                       | is rejected   | is closed      |
+      | GET    | two lengths                                 | is rejected   | is closed      |
+      | GET    | an unknown transfer coding                  | is rejected   | is closed      |
+      | GET    | bytes that are not HTTP                     | is rejected   | is closed      |
+      | GET    | a protocol upgrade                          | is rejected   | is closed      |
+      | GET    | 100 Continue and then the response          | is complete   | is reusable    |
+      | GET    | no content                                  | is complete   | is reusable    |
+      | HEAD   | a length and no body                        | is complete   | is closed      |
+
+  Scenario: A response that arrives before the request was read is passed on immediately
+    When an attempt sends 8 MiB to a back end that answers without reading it
     Then the attempt is answered with 200
 
-  Scenario: Refused callers are told to come back one after the other
+  Scenario: Refused callers get successive retry times
     Given a queue of 6 slots that is full of calls of 120 ms
-    When 10 calls are refused at one moment
-    Then each of them was told a later time than the one before, 80 ms later on average
-    When no call is refused for 3 seconds and one is refused then
-    Then that one was told as early a time as the first
+    When 10 calls are refused at the same time
+    Then each of them got a later retry time than the one before, 80 ms later on average
+    When no call is refused for 3 seconds and then one is refused
+    Then that one got as early a retry time as the first
 
-  Scenario: Nobody is told to stay away for longer than an overload is foreseen
+  Scenario: Retry times are bounded
     Given a queue of 6 slots that is full of calls of 120 ms
-    When 200 calls are refused at one moment
-    Then none of them was told more than 2 seconds
+    When 200 calls are refused at the same time
+    Then none of them got a retry time of more than 2 seconds
 
-  Scenario: Before any call was observed only a few wait
-    Given a queue of 12 slots that has just begun
-    When 100 calls with 400 ms to their target come at once
-    Then 12 of them run, 6 wait and 82 were refused with a time to come back
+  Scenario: Only a few calls wait while the service time is unknown
+    Given a new queue of 12 slots
+    When 100 calls with 400 ms to their target arrive at once
+    Then 12 of them run, 6 wait and 82 were refused with a retry time
     When the first of them ends after 200 ms
-    Then a call with 400 ms to its target is judged by that
+    Then a call with 400 ms to its target is refused by the estimate from that
 
-  Scenario: Calls without a target wait as before
-    Given a queue of 12 slots that has just begun
-    When 40 calls without a target come at once
-    Then 12 of them run, 28 wait and 0 were refused with a time to come back
+  Scenario: Calls without a target wait while the service time is unknown
+    Given a new queue of 12 slots
+    When 40 calls without a target arrive at once
+    Then 12 of them run, 28 wait and 0 were refused with a retry time
--- a/features/agent/backend.feature
+++ b/features/agent/backend.feature
@@ -1,4 +1,4 @@
-Feature: The agent's client tells whether any byte reached the back end
+Feature: The agent's HTTP client reports whether any byte reached the back end
 
   Scenario Outline: Each attempt at a back end ends with one event
     When an attempt at a live back end asks for <target>
@@ -14,18 +14,18 @@
       | /big       | backend-failed after bytes           |
       | /refused   | backend-failed before any byte       |
 
-  Scenario: Attempts one after another share a connection
+  Scenario: Sequential attempts share a connection
     When 3 attempts in turn meet a back end that keeps its connections
     Then the agent's client was answered 3 times over 1 connection
 
-  Scenario: A kept connection that the back end closed is not used again
+  Scenario: A pooled connection that the back end closed is not reused
     When 3 attempts in turn meet a back end that closes after each answer
     Then the agent's client was answered 3 times over 3 connections
 
-  Scenario: No more connections than allowed are open at once
+  Scenario: The number of open connections is limited
     When 5 attempts at once meet a back end, and the agent may open 2 connections
     Then the agent's client was answered 5 times over 2 connections
 
-  Scenario: A back end hears how long its caller still waits
+  Scenario: A back end receives the time left to the deadline
     When an attempt whose caller waits 10 seconds gets its connection after 4
     Then the agent's client told the back end that 6000 ms are left
--- a/features/steps/agent_answer_steps.py
+++ b/features/steps/agent_answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what back ends answer, and for refusals by expected wait."""
+"""Steps for back end responses, and for refusals by expected wait."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     not_run=b"x-not-run",
     answers_repeat_id=True,
 )
-PATIENCE = 10
+TEST_TIMEOUT_SECONDS = 10
 SLOTS = 6
 
 
-class AnsweringBackEnd:
-    """Answers every request alike and keeps what it was sent."""
+class StubBackend:
+    """Sends the same response to every request and records the requests."""
 
     def __init__(self, answer: str) -> None:
         self.status = int(answer.split()[0])
@@ -68,7 +68,7 @@
 
 @given("a back end that answers with {answer}")
 def given_back_end(context, answer):
-    context.back_end = AnsweringBackEnd(answer)
+    context.back_end = StubBackend(answer)
     context.ids = []
 
 
@@ -82,7 +82,7 @@
 
 async def exchange(back_end, ids):
     events = []
-    with trio.fail_after(PATIENCE):
+    with trio.fail_after(TEST_TIMEOUT_SECONDS):
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, back_end.handle, 0)
             port = listeners[0].socket.getsockname()[1]
@@ -129,8 +129,8 @@
 
 
 @given(
-    "a queue whose slots are full with calls of {usual:d} ms, and {waiting:d} more calls of the "
-    "group waiting"
+    "a queue whose slots are busy with calls of {usual:d} ms, and {waiting:d} calls of the new "
+    "call's group waiting"
 )
 def given_queue(context, usual, waiting):
     context.groups = GroupTable(1, 32)
@@ -145,7 +145,7 @@
     "a call of {service:d} ms with {target:d} ms to its target and {deadline:d} ms to its "
     "deadline is {fate}"
 )
-def then_fate(context, service, target, deadline, fate):
+def then_admission(context, service, target, deadline, fate):
     group: GroupQueue = context.groups.open("asked", 0.0)
     for number in range(context.waiting):
         group.append(QueuedCall(number, "asked", math.inf, 0, 0.0))
@@ -160,8 +160,8 @@
 
 
 @given(
-    "a queue full with calls of {usual:d} ms on route long, with {waiting:d} more waiting, after "
-    "short calls of {short:d} ms"
+    "a queue whose slots are busy with calls of {usual:d} ms on route long, with {waiting:d} "
+    "more waiting, after short calls of {short:d} ms"
 )
 def given_two_routes(context, usual, waiting, short):
     queue = context.queue = FairQueue(QueueLimits(slots=SLOTS))
@@ -201,7 +201,8 @@
 
 
 @given(
-    "calls of {short:d} ms on one route and of {long:d} ms on another, {part:d} of 100 on the first"
+    "calls of {short:d} ms on one route and of {long:d} ms on another, {part:d} percent on the "
+    "first"
 )
 def given_mixed_calls(context, short, long, part):
     context.estimate = WaitEstimator(SLOTS, GroupTable(1, 32))
@@ -215,8 +216,8 @@
 
 
 @then(
-    "a call of {service:d} ms that waits {wait:d} ms is taken with {target:d} ms to its target and "
-    "{deadline:d} to its deadline"
+    "a call of {service:d} ms that waits {wait:d} ms is admitted with {target:d} ms to its "
+    "target and {deadline:d} to its deadline"
 )
 def then_short_taken(context, service, wait, target, deadline):
     group = GroupQueue("short", 1)
@@ -227,12 +228,12 @@
 
 
 class UrgentLoad:
-    """Plays a queue in steps of a millisecond, with urgent calls that come evenly."""
+    """Simulates a queue in steps of 1 ms, with urgent calls at a constant rate."""
 
     def __init__(self, slots, urgent_ms, urgent_slots):
         self.queue = FairQueue(QueueLimits(slots=slots))
         self.urgent_ms, self.gap = urgent_ms, urgent_ms / urgent_slots
-        self.urgent, self.less = priority_group(0, "urgent"), priority_group(1, "less")
+        self.urgent, self.less_urgent = priority_group(0, "urgent"), priority_group(1, "less")
         self.running = []
         self.service = {}
         self.arrived = {}
@@ -243,10 +244,10 @@
         number = len(self.service)
         self.service[number] = service_ms
         call = QueuedCall(number, group, now + 5.0, 0, now, now + target)
-        if not isinstance(self.queue.offer(call, now), Failure) and group == self.less:
+        if not isinstance(self.queue.offer(call, now), Failure) and group == self.less_urgent:
             self.arrived[number] = now
 
-    def play(self, seconds, less_every_ms, less_ms, target):
+    def run(self, seconds, less_urgent_every_ms, less_urgent_ms, target):
         for millisecond in range(int(seconds * 1000)):
             now = millisecond / 1000.0
             for end, number in [each for each in self.running if each[0] <= now]:
@@ -255,8 +256,8 @@
             if millisecond >= self.due:
                 self.due += self.gap
                 self.offer(self.urgent, self.urgent_ms, 1.0, now)
-            if millisecond % less_every_ms == 0:
-                self.offer(self.less, less_ms, target, now)
+            if millisecond % less_urgent_every_ms == 0:
+                self.offer(self.less_urgent, less_urgent_ms, target, now)
             while (started := self.queue.start_next(now)) is not None:
                 self.running.append((now + self.service[started.number] / 1000.0, started.number))
                 if started.number in self.arrived:
@@ -271,12 +272,12 @@
     context.load = UrgentLoad(slots, service, held)
 
 
-@when("calls of {service:d} ms with {target:d} ms to their target keep coming")
+@when("calls of {service:d} ms with {target:d} ms to their target keep arriving")
 def when_less_urgent(context, service, target):
-    context.load.play(8.0, less_every_ms=12, less_ms=service, target=target / 1000.0)
+    context.load.run(8.0, less_urgent_every_ms=12, less_urgent_ms=service, target=target / 1000.0)
 
 
-@then("those that are taken start within {most:d} ms")
+@then("90 percent of those that are admitted start within {most:d} ms")
 def then_start_within(context, most):
     waits = sorted(context.load.waits[len(context.load.waits) // 2 :])
     assert len(waits) > 50, waits
@@ -306,36 +307,41 @@
     return refusal.retry_after
 
 
-@when("{count:d} calls are refused at one moment")
+@when("{count:d} calls are refused at the same time")
 def when_refused_together(context, count):
-    context.told = [refused_now(context) for _ in range(count)]
+    context.retries = [refused_now(context) for _ in range(count)]
 
 
-@when("no call is refused for {pause:d} seconds and one is refused then")
+@when("no call is refused for {pause:d} seconds and then one is refused")
 def when_refused_later(context, pause):
     context.now += pause
-    context.told_later = refused_now(context)
+    context.retry_later = refused_now(context)
 
 
-@then("each of them was told a later time than the one before, {step:d} ms later on average")
-def then_told_later(context, step):
-    told = context.told
-    assert all(later > earlier for earlier, later in zip(told, told[1:], strict=False)), told
-    average = (told[-1] - told[0]) / (len(told) - 1)
+@then("each of them got a later retry time than the one before, {step:d} ms later on average")
+def then_retries_spread(context, step):
+    retries = context.retries
+    assert all(later > earlier for earlier, later in zip(retries, retries[1:], strict=False)), (
+        retries
+    )
+    average = (retries[-1] - retries[0]) / (len(retries) - 1)
     assert abs(average * 1000 - step) < step / 4, average
 
 
-@then("that one was told as early a time as the first")
-def then_told_early(context):
-    assert abs(context.told_later - context.told[0]) < 0.001, (context.told_later, context.told)
+@then("that one got as early a retry time as the first")
+def then_retry_early(context):
+    assert abs(context.retry_later - context.retries[0]) < 0.001, (
+        context.retry_later,
+        context.retries,
+    )
 
 
-@then("none of them was told more than {most:d} seconds")
-def then_told_at_most(context, most):
-    assert max(context.told) <= most + 0.001, max(context.told)
+@then("none of them got a retry time of more than {most:d} seconds")
+def then_retries_bounded(context, most):
+    assert max(context.retries) <= most + 0.001, max(context.retries)
 
 
-@given("a queue of {slots:d} slots that has just begun")
+@given("a new queue of {slots:d} slots")
 def given_new_queue(context, slots):
     context.queue = FairQueue(QueueLimits(slots=slots))
     context.refusals = []
@@ -349,20 +355,17 @@
         context.queue.start_next(0.0)
 
 
-@when("{count:d} calls with {target:d} ms to their target come at once")
+@when("{count:d} calls with {target:d} ms to their target arrive at once")
 def when_many_with_target(context, count, target):
     offer_all(context, count, target / 1000.0)
 
 
-@when("{count:d} calls without a target come at once")
+@when("{count:d} calls without a target arrive at once")
 def when_many_without_target(context, count):
     offer_all(context, count, math.inf)
 
 
-@then(
-    "{running:d} of them run, {waiting:d} wait and {refused:d} were refused with a time to come "
-    "back"
-)
+@then("{running:d} of them run, {waiting:d} wait and {refused:d} were refused with a retry time")
 def then_run_and_wait(context, running, waiting, refused):
     queue = context.queue
     found = (queue.running, queue.queued, len(context.refusals))
@@ -376,7 +379,7 @@
     context.queue.finish(0, context.now, representative=True)
 
 
-@then("a call with {target:d} ms to its target is judged by that")
+@then("a call with {target:d} ms to its target is refused by the estimate from that")
 def then_judged(context, target):
     now = context.now
     call = QueuedCall(999, "all", now + 5.0, 0, now, now + target / 1000.0)
@@ -387,13 +390,13 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 WHOLE = OK + b"content-length: 2\r\n\r\nok"
 CHUNKS = OK + b"transfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n"
-RAW_ANSWERS = {
+RAW_RESPONSES = {
     "a length and the body": WHOLE,
     "chunks": CHUNKS + b"0\r\n\r\n",
-    "chunks with a field behind them": CHUNKS + b"0\r\nx-behind: 9\r\n\r\n",
+    "chunks with a trailer field": CHUNKS + b"0\r\nx-behind: 9\r\n\r\n",
     "a length, the body and more": WHOLE + b"more",
-    "a whole answer twice": WHOLE + WHOLE,
-    "a length, the body and word of its close": OK
+    "a complete response twice": WHOLE + WHOLE,
+    "a length, the body and connection close": OK
     + b"connection: close\r\ncontent-length: 2\r\n\r\nok",
     "the version 1.0": b"HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nok",
     "no length": OK + b"x: y\r\n\r\nok",
@@ -402,10 +405,10 @@
     "half of a chunk": CHUNKS + b"5\r\nab",
     "a body over the limit": OK + b"content-length: 200\r\n\r\n" + bytes(200),
     "two lengths": OK + b"content-length: 2\r\ncontent-length: 3\r\n\r\nok",
-    "a coding that is not known": OK + b"transfer-encoding: gzip\r\n\r\nok",
+    "an unknown transfer coding": OK + b"transfer-encoding: gzip\r\n\r\nok",
     "bytes that are not HTTP": b"\x00\x01\x02 nothing",
-    "another protocol": b"HTTP/1.1 101 Ok\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n",
-    "word to go on and then the answer": b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE,
+    "a protocol upgrade": b"HTTP/1.1 101 Ok\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n",
+    "100 Continue and then the response": b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE,
     "no content": b"HTTP/1.1 204 Nothing\r\n\r\n",
     "a length and no body": OK + b"content-length: 2\r\n\r\n",
 }
@@ -416,19 +419,19 @@
 def when_raw_answer(context, method, raw):
     name, _, end = raw.partition(", ended by a ")
     context.parser = ResponseParser(method.encode(), LIMIT_BYTES)
-    context.parser.feed(RAW_ANSWERS[name])
+    context.parser.feed(RAW_RESPONSES[name])
     if end == "close":
         context.parser.handle_close()
     elif end == "reset":
         context.parser.handle_error("reset")
 
 
-@then("the answer {is_whole}, and its connection {goes_on}")
-def then_reader(context, is_whole, goes_on):
+@then("the response {is_complete}, and its connection {reuse}")
+def then_parsed(context, is_complete, reuse):
     parser = context.parser
-    assert (parser.response is not None) is (is_whole == "is whole"), parser.failure
-    assert (parser.failure is None) is (is_whole == "is whole"), parser.failure
-    assert parser.reusable is (goes_on == "may be kept")
+    assert (parser.response is not None) is (is_complete == "is complete"), parser.failure
+    assert (parser.failure is None) is (is_complete == "is complete"), parser.failure
+    assert parser.reusable is (reuse == "is reusable")
     if parser.response is not None:
         assert parser.response.body in (b"ok", b""), parser.response
 
@@ -440,7 +443,7 @@
 
 async def send_large(size):
     events = []
-    with trio.fail_after(PATIENCE):
+    with trio.fail_after(TEST_TIMEOUT_SECONDS):
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, answer_before_reading, 0)
             port = listeners[0].socket.getsockname()[1]
@@ -454,6 +457,6 @@
     return events
 
 
-@when("an attempt sends {size:d} MiB to a back end that answers first and reads nothing")
+@when("an attempt sends {size:d} MiB to a back end that answers without reading it")
 def when_early_answer(context, size):
     context.events = trio.run(send_large, size << 20)
--- a/features/steps/agent_backend_steps.py
+++ b/features/steps/agent_backend_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the agent's client of the back end, on loopback."""
+"""Steps for the agent's HTTP client of the back end, on loopback."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 async def attempt_at(target: str, clock: trio.testing.MockClock) -> Event:
-    """Make an attempt; it is cancelled, or its time is up, once the request has arrived."""
+    """Make an attempt; cancel it or let it time out once the request has arrived."""
     received: list[Event] = []
     arrived, ended = trio.Event(), trio.Event()
 
@@ -91,8 +91,8 @@
 
 
 @dataclass
-class KeepingServer:
-    """Answers requests without bodies, some on each connection; counts connections."""
+class KeepAliveServer:
+    """Answers up to ``requests_each`` requests per connection; counts connections."""
 
     requests_each: int
     connections: int = 0
@@ -107,7 +107,7 @@
         await stream.aclose()
 
 
-async def ask_repeatedly(server: KeepingServer, count: int, at_once: int, allowed: int) -> int:
+async def send_repeatedly(server: KeepAliveServer, count: int, at_once: int, allowed: int) -> int:
     answers = 0
     room = trio.Semaphore(at_once)
 
@@ -136,21 +136,21 @@
 
 
 @when("{count:d} attempts in turn meet a back end that keeps its connections")
-def ask_keeping(context: Context, count: int) -> None:
-    context.server = KeepingServer(requests_each=100)
-    context.answers = trio.run(ask_repeatedly, context.server, count, 1, 10)
+def send_with_keep_alive(context: Context, count: int) -> None:
+    context.server = KeepAliveServer(requests_each=100)
+    context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
 @when("{count:d} attempts in turn meet a back end that closes after each answer")
-def ask_closing(context: Context, count: int) -> None:
-    context.server = KeepingServer(requests_each=1)
-    context.answers = trio.run(ask_repeatedly, context.server, count, 1, 10)
+def send_with_close(context: Context, count: int) -> None:
+    context.server = KeepAliveServer(requests_each=1)
+    context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
 @when("{count:d} attempts at once meet a back end, and the agent may open {allowed:d} connections")
-def ask_at_once(context: Context, count: int, allowed: int) -> None:
-    context.server = KeepingServer(requests_each=100)
-    context.answers = trio.run(ask_repeatedly, context.server, count, count, allowed)
+def send_concurrently(context: Context, count: int, allowed: int) -> None:
+    context.server = KeepAliveServer(requests_each=100)
+    context.answers = trio.run(send_repeatedly, context.server, count, count, allowed)
 
 
 @then("the agent's client was answered {count:d} times over {connections:d} connection")
@@ -159,8 +159,8 @@
     assert (context.answers, context.server.connections) == (count, connections)
 
 
-async def ask_behind(held: int, patience: int, heard: list[bytes]) -> None:
-    """Hold the one connection for some seconds of the clock while a second attempt waits for it."""
+async def send_behind(held: int, timeout: int, heard: list[bytes]) -> None:
+    """Hold the only connection for ``held`` seconds while a second attempt waits for it."""
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, trio.testing.MockClock)
     arrived, answer = trio.Event(), trio.Event()
@@ -180,7 +180,7 @@
         settings = BackendSettings(address=address, connections=1)
         backend = BackendClient(settings, nursery, lambda event: both_ended.release())
         for number in range(2):
-            attempt = StartAttempt(number, "orders", b"GET", b"/ok", (), b"", float(patience))
+            attempt = StartAttempt(number, "orders", b"GET", b"/ok", (), b"", float(timeout))
             backend.start(attempt)
         await arrived.wait()
         clock.jump(held)
@@ -191,11 +191,11 @@
         nursery.cancel_scope.cancel()
 
 
-@when("an attempt whose caller waits {patience:d} seconds gets its connection after {held:d}")
-def ask_after_waiting(context: Context, patience: int, held: int) -> None:
+@when("an attempt whose caller waits {timeout:d} seconds gets its connection after {held:d}")
+def send_after_waiting(context: Context, timeout: int, held: int) -> None:
     context.heard = []
     clock = trio.testing.MockClock()
-    trio.run(ask_behind, held, patience, context.heard, clock=clock)
+    trio.run(send_behind, held, timeout, context.heard, clock=clock)
 
 
 @then("the agent's client told the back end that {left:d} ms are left")
--- a/features/steps/agent_queue_steps.py
+++ b/features/steps/agent_queue_steps.py
@@ -35,8 +35,8 @@
 
 
 @dataclass
-class Course:
-    """Serves a fair queue in virtual time; counts slot time and starts by group."""
+class QueueSimulation:
+    """Runs a fair queue in simulated time; counts slot time and starts by group."""
 
     queue: FairQueue
     slots: int
@@ -52,14 +52,14 @@
 
     def start(self, duration: dict[str, float]) -> None:
         while (call := self.queue.start_next(self.now)) is not None:
-            taken = duration[call.group]
-            heapq.heappush(self.busy, (self.now + taken, call.number, call.group, taken))
+            service = duration[call.group]
+            heapq.heappush(self.busy, (self.now + service, call.number, call.group, service))
             self.starts.append(call.group)
 
     def finish_one(self) -> str:
-        self.now, call, group, taken = heapq.heappop(self.busy)
+        self.now, call, group, service = heapq.heappop(self.busy)
         self.queue.finish(call, self.now, representative=group != SHED_GROUP)
-        self.served[group] = self.served.get(group, 0.0) + taken
+        self.served[group] = self.served.get(group, 0.0) + service
         return group
 
 
@@ -71,17 +71,17 @@
     @examples(groups, st.integers(1, 6))
     def serve(drawn: list[tuple[int, float]], slots: int) -> None:
         weights = {f"g{index}": weight for index, (weight, _) in enumerate(drawn)}
-        duration = {f"g{index}": taken for index, (_, taken) in enumerate(drawn)}
-        course = Course(make_queue(weights, slots=slots, group_calls=1000), slots)
+        duration = {f"g{index}": service for index, (_, service) in enumerate(drawn)}
+        simulation = QueueSimulation(make_queue(weights, slots=slots, group_calls=1000), slots)
         for group in weights:
             for _ in range(20):
-                course.offer(group)
-        course.start(duration)
+                simulation.offer(group)
+        simulation.start(duration)
         longest = max(INITIAL_CHARGE_SECONDS, *duration.values())
         for _ in range(400):
-            course.offer(course.finish_one())
-            course.start(duration)
-            parts = [(course.served.get(g, 0.0) / w, w) for g, w in weights.items()]
+            simulation.offer(simulation.finish_one())
+            simulation.start(duration)
+            parts = [(simulation.served.get(g, 0.0) / w, w) for g, w in weights.items()]
             for part, weight in parts:
                 for other, other_weight in parts:
                     bound = 2 * slots * longest * (1 / weight + 1 / other_weight)
@@ -97,27 +97,27 @@
     @CASES
     @examples(st.lists(step, max_size=200), st.integers(1, 6))
     def serve(steps: list[tuple[str, bool, float]], slots: int) -> None:
-        course = Course(make_queue({"a": 1, "b": 50}, slots=slots), slots)
-        for group, arrives, taken in steps:
+        simulation = QueueSimulation(make_queue({"a": 1, "b": 50}, slots=slots), slots)
+        for group, arrives, service in steps:
             if arrives:
-                course.offer(group)
-            elif course.busy:
-                course.finish_one()
-            course.start(dict.fromkeys("abc", taken))
-            assert course.queue.queued == 0 or course.queue.running == slots
+                simulation.offer(group)
+            elif simulation.busy:
+                simulation.finish_one()
+            simulation.start(dict.fromkeys("abc", service))
+            assert simulation.queue.queued == 0 or simulation.queue.running == slots
 
     serve()
 
 
 @given("an agent queue with {slots:d} slots and weights {weights}")
 def given_queue(context: Context, slots: int, weights: str) -> None:
-    context.course = Course(make_queue(parse_weights(weights), slots=slots), slots)
+    context.simulation = QueueSimulation(make_queue(parse_weights(weights), slots=slots), slots)
 
 
 @given("an agent queue of {size:d} bytes with {slots:d} slot and weights {weights}")
 def given_byte_queue(context: Context, size: int, slots: int, weights: str) -> None:
     queue = make_queue(parse_weights(weights), slots=slots, total_bytes=size)
-    context.course = Course(queue, slots)
+    context.simulation = QueueSimulation(queue, slots)
 
 
 @when(
@@ -125,21 +125,21 @@
     "for {rounds:d} rounds"
 )
 def flood(context: Context, count: int, kept: int, rounds: int) -> None:
-    course, duration = context.course, {"flood": 0.02, "steady": 0.02}
-    context.refused = [course.offer("flood") for _ in range(count // 2)]
-    course.start(duration)
+    simulation, duration = context.simulation, {"flood": 0.02, "steady": 0.02}
+    context.refused = [simulation.offer("flood") for _ in range(count // 2)]
+    simulation.start(duration)
     for _ in range(kept):
-        course.offer("steady")
-    context.refused += [course.offer("flood") for _ in range(count // 2)]
-    course.starts.clear()
+        simulation.offer("steady")
+    context.refused += [simulation.offer("flood") for _ in range(count // 2)]
+    simulation.starts.clear()
     for _ in range(rounds):
-        course.offer(course.finish_one())
-        course.start(duration)
+        simulation.offer(simulation.finish_one())
+        simulation.start(duration)
 
 
-@then("group steady was given at least {percent:d} percent of the starts")
+@then("group steady got at least {percent:d} percent of the starts")
 def check_steady(context: Context, percent: int) -> None:
-    starts = context.course.starts
+    starts = context.simulation.starts
     assert starts.count("steady") * 100 >= percent * len(starts), starts.count("steady")
 
 
@@ -151,55 +151,55 @@
 
 @when("group flood fills the bytes of the queue and group steady offers a call of {size:d} bytes")
 def flood_bytes(context: Context, size: int) -> None:
-    course = context.course
-    course.offer("flood")
-    course.start({"flood": 1.0})
+    simulation = context.simulation
+    simulation.offer("flood")
+    simulation.start({"flood": 1.0})
     for _ in range(10):
-        course.offer("flood", size=100)
-    context.offered = course.offer("steady", size=size)
+        simulation.offer("flood", size=100)
+    context.offered = simulation.offer("steady", size=size)
 
 
-@then("the call of group steady waits and calls of group flood were given back")
+@then("the call of group steady waits and calls of group flood were evicted")
 def check_eviction(context: Context) -> None:
     assert not isinstance(context.offered, Failure)
     assert len(context.offered) == 3
     assert {each.failure.outcome for each in context.offered} == {Outcome.NOT_RUN}
-    assert context.course.queue.queued_bytes == 1000
+    assert context.simulation.queue.queued_bytes == 1000
 
 
 @when("the weights become {weights} while both groups are backlogged")
 def change_weights(context: Context, weights: str) -> None:
-    course, duration = context.course, {"flood": 0.02, "steady": 0.02}
+    simulation, duration = context.simulation, {"flood": 0.02, "steady": 0.02}
     for group in ["flood", "steady"] * 20:
-        course.offer(group)
-    course.start(duration)
+        simulation.offer(group)
+    simulation.start(duration)
     for index in range(200):
         if index == 100:
-            course.queue.set_weights(parse_weights(weights))
-            course.starts.clear()
-        course.offer(course.finish_one())
-        course.start(duration)
+            simulation.queue.set_weights(parse_weights(weights))
+            simulation.starts.clear()
+        simulation.offer(simulation.finish_one())
+        simulation.start(duration)
 
 
 @then("group steady gets about 3 of 4 starts")
 def check_new_weights(context: Context) -> None:
-    assert 70 <= context.course.starts.count("steady") <= 80, context.course.starts
+    assert 70 <= context.simulation.starts.count("steady") <= 80, context.simulation.starts
 
 
 @when("calls take 1 second each and 5 calls wait")
 def fill_slowly(context: Context) -> None:
-    course = context.course
-    course.offer("steady")
-    course.start({"steady": 1.0})
-    course.finish_one()
+    simulation = context.simulation
+    simulation.offer("steady")
+    simulation.start({"steady": 1.0})
+    simulation.finish_one()
     for _ in range(6):
-        course.offer("steady")
-        course.start({"steady": 1.0})
+        simulation.offer("steady")
+        simulation.start({"steady": 1.0})
 
 
-@then("a call with {left:d} seconds left is refused with {kind:S} and advice")
+@then("a call with {left:d} seconds left is refused with {kind:S} and a retry time")
 def check_short(context: Context, left: int, kind: str) -> None:
-    offered = context.course.offer("steady", left=left)
+    offered = context.simulation.offer("steady", left=left)
     assert isinstance(offered, Failure)
     assert offered.kind.value == kind
     assert offered.retry_after > 0
@@ -207,12 +207,12 @@
 
 @then("a call with {left:d} seconds left is queued")
 def check_long(context: Context, left: int) -> None:
-    assert context.course.offer("steady", left=left) == ()
+    assert context.simulation.offer("steady", left=left) == ()
 
 
 @given(
-    "an agent queue with {slots:d} slots where urgent calls held {held:d} slots of late and long "
-    "calls wait"
+    "an agent queue with {slots:d} slots where urgent calls recently held {held:d} slots and "
+    "long calls wait"
 )
 def given_urgent_history(context: Context, slots: int, held: int) -> None:
     context.slots = slots
@@ -244,18 +244,18 @@
         pass
 
 
-@when("the queue is looked at whenever it asks for it, for {seconds:d} seconds")
-def look_when_asked(context: Context, seconds: int) -> None:
+@when("the queue's timers are served for {seconds:d} seconds")
+def serve_timers(context: Context, seconds: int) -> None:
     end = context.now + seconds
-    looks = 0
+    timers = 0
     while (due := context.queue.next_deadline()) is not None and due <= end:
         context.now = due
         start_long(context)
-        looks += 1
-        assert looks <= 2 * context.slots, "the queue asks again and again"
+        timers += 1
+        assert timers <= 2 * context.slots, "the queue sets timers without progress"
 
 
-@then("{count:d} long calls run, and an urgent call that comes now starts at once")
+@then("{count:d} long calls run, and an urgent call that arrives now starts immediately")
 def check_room(context: Context, count: int) -> None:
     check_running(context, count)
     offer_and_start(context, 5000, context.urgent)
--- a/features/steps/answer_link_steps.py
+++ b/features/steps/answer_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps for long answers on a machine's link: in a model, in the core for it, and at an agent."""
+"""Steps for paced responses: on a modelled link, in the pacer, and at an agent."""
 
 from __future__ import annotations
 
@@ -25,138 +25,140 @@
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=100)
 RATE = 262_500
 NOW = 10.0
-TAKEN_WHOLE = 1 << 30
+UNLIMITED_CREDIT = 1 << 30
 TARGET = 5.0
-FOUR_IN_FIVE = 0.8
+MIN_GOODPUT = 0.8
 
 
-@given("long answers that ask for {part:d} percent of a link of {rate:d} bytes a second")
+@given("long responses with a demand of {part:d} percent of a link of {rate:d} bytes a second")
 def given_load(context: Context, part: int, rate: int) -> None:
     context.load = AnswerLoad(rate=rate, asked=part / 100)
 
 
-def played(context: Context, leaving: Leaving) -> AnswerOutcome:
+def simulate(context: Context, leaving: Leaving) -> AnswerOutcome:
     outcome = AnswerModel(context.load, leaving, SEED).run()
     assert outcome.long.count > 100, outcome
     return outcome
 
 
-@when("they are paced, 99 in 100 short answers pass within {limit:d} ms")
-def short_pass(context: Context, limit: int) -> None:
-    assert played(context, Leaving.PACED).short.p99_ms <= limit
+@when("they are paced, the p99 latency of short responses is at most {limit:d} ms")
+def short_fast(context: Context, limit: int) -> None:
+    assert simulate(context, Leaving.PACED).short.p99_ms <= limit
 
 
-@when("when the long answers are pushed, short ones take more than {limit:d} ms")
-def short_held_up(context: Context, limit: int) -> None:
-    assert played(context, Leaving.PUSHED).short.p99_ms > limit
+@when("they are not paced, the p99 latency of short responses is more than {limit:d} ms")
+def short_slow(context: Context, limit: int) -> None:
+    assert simulate(context, Leaving.PUSHED).short.p99_ms > limit
 
 
-@when("they are paced, {least:d} in 100 of those that run are in their target")
+@when("they are paced, at least {least:d} percent of the admitted calls meet their target")
 def run_in_target(context: Context, least: int) -> None:
-    outcome = played(context, Leaving.PACED)
+    outcome = simulate(context, Leaving.PACED)
     assert outcome.in_target >= least / 100 * (1 - outcome.refused), outcome
 
 
-@when("more of all that come than if pushed, and four in five of what the link can carry")
-def all_in_target(context: Context) -> None:
-    paced = played(context, Leaving.PACED).in_target
-    assert paced >= FOUR_IN_FIVE * min(1.0, 1.0 / context.load.asked), paced
-    assert paced > played(context, Leaving.PUSHED).in_target, paced
+@when("more of all calls meet it than without pacing, and 80 percent of what the link can carry")
+def more_in_target(context: Context) -> None:
+    paced = simulate(context, Leaving.PACED).in_target
+    assert paced >= MIN_GOODPUT * min(1.0, 1.0 / context.load.asked), paced
+    assert paced > simulate(context, Leaving.PUSHED).in_target, paced
 
 
-@then("any answers leave whole, once, with at most two parts in hand")
-def leave_whole(context: Context) -> None:
+@then("any responses are sent completely, once, with at most two chunks queued on the link")
+def sent_completely(context: Context) -> None:
     @PROPERTY
     @examples(
         st.lists(st.tuples(st.integers(8193, 60_000), st.floats(-1.0, 2.0)), min_size=1, max_size=8)
     )
-    def check(answers) -> None:
-        link = ResponsePacer(RATE)
-        for number, (size, target) in enumerate(answers):
-            link.add(number, size, TAKEN_WHOLE, NOW + target)
-        sent = [0] * len(answers)
+    def check(responses) -> None:
+        pacer = ResponsePacer(RATE)
+        for number, (size, target) in enumerate(responses):
+            pacer.add(number, size, UNLIMITED_CREDIT, NOW + target)
+        sent = [0] * len(responses)
         now, on_link_until = NOW, NOW
         while True:
-            for part in link.next_chunks(now):
-                assert part.size <= RATE * CHUNK_SECONDS
-                sent[part.response] += part.size
-                on_link_until = max(now, on_link_until) + part.size / RATE
+            for chunk in pacer.next_chunks(now):
+                assert chunk.size <= RATE * CHUNK_SECONDS
+                sent[chunk.response] += chunk.size
+                on_link_until = max(now, on_link_until) + chunk.size / RATE
                 assert on_link_until - now <= AHEAD_SECONDS + CHUNK_SECONDS
-            turn = link.next_send_time()
-            if turn is None:
+            send_time = pacer.next_send_time()
+            if send_time is None:
                 break
-            assert turn > now
-            now = turn
-        assert sent == [size for size, _ in answers]
+            assert send_time > now
+            now = send_time
+        assert sent == [size for size, _ in responses]
 
     check()
 
 
-@given("an answer link of {rate:d} bytes a second")
+@given("a response pacer for a link of {rate:d} bytes a second")
 def given_link(context: Context, rate: int) -> None:
-    context.link, context.now, context.left = ResponsePacer(rate), NOW, {}
+    context.pacer, context.now, context.left = ResponsePacer(rate), NOW, {}
 
 
-def add(context: Context, answer: int, size: int, taken: int, seconds: float = TARGET) -> None:
-    context.left[answer] = size
-    context.link.add(answer, size, taken, NOW + seconds)
+def add(context: Context, response: int, size: int, credit: int, seconds: float = TARGET) -> None:
+    context.left[response] = size
+    context.pacer.add(response, size, credit, NOW + seconds)
 
 
-def let_leave(context: Context) -> list[int]:
-    """Let time go on until nothing waits for a turn; return the answers that ended, in order."""
+def send_all(context: Context) -> list[int]:
+    """Advance time until nothing is left to send; return the completed responses in order."""
     ended = []
-    while (turn := context.link.next_send_time()) is not None:
-        context.now = max(context.now, turn)
-        for part in context.link.next_chunks(context.now):
-            context.left[part.response] -= part.size
-            if not context.left[part.response]:
-                ended.append(part.response)
+    while (send_time := context.pacer.next_send_time()) is not None:
+        context.now = max(context.now, send_time)
+        for chunk in context.pacer.next_chunks(context.now):
+            context.left[chunk.response] -= chunk.size
+            if not context.left[chunk.response]:
+                ended.append(chunk.response)
     return ended
 
 
-@given("answers 1, 2 and 3 of {size:d} bytes with {a:d}, {b:d} and {c:d} seconds to their targets")
+@given(
+    "responses 1, 2 and 3 of {size:d} bytes with {a:d}, {b:d} and {c:d} seconds to their targets"
+)
 def given_three(context: Context, size: int, a: int, b: int, c: int) -> None:
-    for answer, seconds in ((1, a), (2, b), (3, c)):
-        add(context, answer, size, TAKEN_WHOLE, seconds)
+    for response, seconds in ((1, a), (2, b), (3, c)):
+        add(context, response, size, UNLIMITED_CREDIT, seconds)
 
 
-@then("they end in the order {a:d}, {b:d}, {c:d}")
+@then("they complete in the order {a:d}, {b:d}, {c:d}")
 def end_in_order(context: Context, a: int, b: int, c: int) -> None:
-    ended = let_leave(context)
+    ended = send_all(context)
     assert ended == [a, b, c], ended
 
 
-@given("answer 1 of {size:d} bytes of which {taken:d} are taken, and answer 2 of {other:d} bytes")
-def given_untaken(context: Context, size: int, taken: int, other: int) -> None:
-    add(context, 1, size, taken)
-    add(context, 2, other, TAKEN_WHOLE)
+@given("response 1 of {size:d} bytes with credit for {credit:d}, and response 2 of {other:d} bytes")
+def given_partial_credit(context: Context, size: int, credit: int, other: int) -> None:
+    add(context, 1, size, credit)
+    add(context, 2, other, UNLIMITED_CREDIT)
 
 
-@then("answer 2 ends, and answer 1 has left {left:d} bytes")
+@then("response 2 completes, and response 1 has {left:d} unsent bytes")
 def second_ends(context: Context, left: int) -> None:
-    assert let_leave(context) == [2]
+    assert send_all(context) == [2]
     assert context.left[1] == left
 
 
-@when("{size:d} more bytes of answer 1 are taken")
-def take_more(context: Context, size: int) -> None:
-    context.link.add_credit(1, size)
+@when("response 1 gets credit for {size:d} more bytes")
+def give_credit(context: Context, size: int) -> None:
+    context.pacer.add_credit(1, size)
 
 
-@then("answer 1 ends")
+@then("response 1 completes")
 def first_ends(context: Context) -> None:
-    assert let_leave(context) == [1]
+    assert send_all(context) == [1]
 
 
-@then("no answer is paced there, and a call with 1 ms to its target has room after 50 long ones")
-def has_room(context: Context) -> None:
-    link = context.link
-    assert not link.is_paced(TAKEN_WHOLE)
+@then("no response is paced, and a call with 1 ms to its target is admitted after 50 long ones")
+def is_admitted(context: Context) -> None:
+    pacer = context.pacer
+    assert not pacer.is_paced(UNLIMITED_CREDIT)
     for call in range(50):
-        link.observe("long", 1_000_000)
-        link.reserve(call, "long")
-    assert link.lateness("long", CallTiming(NOW + 0.001, NOW + 1.0, 0.0), NOW) == 0.0
-    assert link.backlog_seconds(NOW) == 0.0
+        pacer.observe("long", 1_000_000)
+        pacer.reserve(call, "long")
+    assert pacer.lateness("long", CallTiming(NOW + 0.001, NOW + 1.0, 0.0), NOW) == 0.0
+    assert pacer.backlog_seconds(NOW) == 0.0
 
 
 @when("the back end answers agent stream {stream:d} with {size:d} bytes")
@@ -165,30 +167,30 @@
     context.agent.tell(AttemptAnswered(attempt, 200, (), bytes(size)))
 
 
-@when("the agent's time goes on by {seconds:g} seconds")
-def time_goes_on(context: Context, seconds: float) -> None:
+@when("the agent's clock advances by {seconds:g} seconds")
+def advance_clock(context: Context, seconds: float) -> None:
     context.agent.advance(seconds)
 
 
-def body_of(agent: AgentBench, stream: int) -> tuple[int, list[bool]]:
-    """Return how many bytes of an answer's body were sent, and which messages were the last."""
+def sent_body(agent: AgentBench, stream: int) -> tuple[int, list[bool]]:
+    """Return the number of body bytes sent, and the end flag of each message."""
     heads = [head for head in agent.sent(PROXY_LINK, ResponseStart) if head.stream == stream]
     assert len(heads) == 1, heads
-    parts = [part for part in agent.sent(PROXY_LINK, ResponseBody) if part.stream == stream]
-    size = len(heads[0].body) + sum(len(part.data) for part in parts)
-    return size, [heads[0].end, *(part.end for part in parts)]
+    chunks = [chunk for chunk in agent.sent(PROXY_LINK, ResponseBody) if chunk.stream == stream]
+    size = len(heads[0].body) + sum(len(chunk.data) for chunk in chunks)
+    return size, [heads[0].end, *(chunk.end for chunk in chunks)]
 
 
 @then("the proxy has the head of agent stream {stream:d} and less than {size:d} bytes of its body")
 def has_head(context: Context, stream: int, size: int) -> None:
-    sent, ends = body_of(context.agent, stream)
+    sent, ends = sent_body(context.agent, stream)
     assert sent < size, sent
     assert not any(ends)
 
 
-@then("the proxy has the whole answer of agent stream {stream:d}, {size:d} bytes")
-def has_whole(context: Context, stream: int, size: int) -> None:
-    sent, ends = body_of(context.agent, stream)
+@then("the proxy has the complete response of agent stream {stream:d}, {size:d} bytes")
+def has_complete(context: Context, stream: int, size: int) -> None:
+    sent, ends = sent_body(context.agent, stream)
     assert sent == size, sent
     assert ends[-1] and not any(last for last, _ in pairwise(ends)), ends
 
@@ -198,22 +200,22 @@
     context.agent.send(call_start(stream, target_left_ms=target))
 
 
-@then("agent stream {stream:d} was never handed to the back end")
-def never_handed(context: Context, stream: int) -> None:
+@then("agent stream {stream:d} was never sent to the back end")
+def never_sent(context: Context, stream: int) -> None:
     targets = [attempt.target for attempt in context.agent.of(StartAttempt)]
     assert str(stream).encode() not in targets, targets
 
 
-@then("the proxy of agent stream {stream:d} was told to come back in {least:d} to {most:d} ms")
-def told_time(context: Context, stream: int, least: int, most: int) -> None:
+@then("the proxy of agent stream {stream:d} was told to retry after {least:d} to {most:d} ms")
+def told_retry(context: Context, stream: int, least: int, most: int) -> None:
     failures = context.agent.sent(PROXY_LINK, CallFailed)
     (failure,) = [each for each in failures if each.stream == stream]
     assert least <= failure.retry_after_ms <= most, failure
 
 
-@then("no part of agent stream {stream:d} was marked as the last")
+@then("no chunk of agent stream {stream:d} was marked as the last")
 def none_last(context: Context, stream: int) -> None:
-    _, ends = body_of(context.agent, stream)
+    _, ends = sent_body(context.agent, stream)
     assert not any(ends)
 
 
@@ -224,5 +226,5 @@
 
 @then("the agent sent less than {size:d} bytes of agent stream {stream:d}")
 def sent_less(context: Context, size: int, stream: int) -> None:
-    sent, _ = body_of(context.agent, stream)
+    sent, _ = sent_body(context.agent, stream)
     assert sent < size, sent
--- a/features/steps/body_credit_steps.py
+++ b/features/steps/body_credit_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the credit that an agent gives for bodies, on its own and on a modelled link."""
+"""Steps for the body credit scheduler, on its own and on a modelled link."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 SEED = 1
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=200)
 RATE = 262_500
-PART = 4200
+CHUNK_BYTES = 4200
 
 
-@given("bodies that take {part:d} percent of a link of {rate:d} bytes a second")
+@given("bodies with a demand of {part:d} percent of a link of {rate:d} bytes a second")
 def given_load(context: Context, part: int, rate: int) -> None:
     context.load = LinkLoad(rate=rate, used_by_bodies=part / 100)
 
@@ -30,47 +30,47 @@
     return outcome.short.p99_ms
 
 
-@when("they are sent by credit, 99 in 100 short calls pass within {limit:d} ms")
-def by_credit(context: Context, limit: int) -> None:
+@when("they are sent by credit, the p99 latency of short calls is at most {limit:d} ms")
+def fast_by_credit(context: Context, limit: int) -> None:
     assert short_p99(context, Sending.BY_CREDIT) <= limit
 
 
-@when("when they are pushed, they take more than {limit:d} ms")
-def pushed(context: Context, limit: int) -> None:
+@when("they are sent without credit, the p99 latency of short calls is more than {limit:d} ms")
+def slow_without_credit(context: Context, limit: int) -> None:
     assert short_p99(context, Sending.PUSHED) > limit
 
 
-@then("any bodies are asked for whole, once, and never more than three parts at a time")
-def asked_whole(context: Context) -> None:
+@then("any bodies are requested completely, once, with at most three chunks in flight")
+def requested_completely(context: Context) -> None:
     @PROPERTY
     @examples(
         st.lists(st.integers(1, 50_000), min_size=1, max_size=8), st.randoms(use_true_random=False)
     )
     def check(sizes, random) -> None:
         credit = BodyCreditScheduler(RATE)
-        asked = [0] * len(sizes)
-        coming: list[tuple[int, int]] = []
+        requested = [0] * len(sizes)
+        in_flight: list[tuple[int, int]] = []
         for call, size in enumerate(sizes):
             credit.add(call, size)
         now = 0.0
         while True:
             for grant in credit.grants(now):
-                asked[grant.call] += grant.size
-                coming.append((grant.call, grant.size))
-            assert sum(size for _, size in coming) <= PART * MAX_CHUNKS_IN_FLIGHT
-            if not coming:
+                requested[grant.call] += grant.size
+                in_flight.append((grant.call, grant.size))
+            assert sum(size for _, size in in_flight) <= CHUNK_BYTES * MAX_CHUNKS_IN_FLIGHT
+            if not in_flight:
                 break
-            call, size = coming.pop(random.randrange(len(coming)))
+            call, size = in_flight.pop(random.randrange(len(in_flight)))
             now += 0.001
             credit.received(call, size, now)
-            if asked[call] == sizes[call] and all(other != call for other, _ in coming):
+            if requested[call] == sizes[call] and all(other != call for other, _ in in_flight):
                 credit.remove(call)
-        assert asked == sizes
+        assert requested == sizes
 
     check()
 
 
-@given("a credit of a link of {rate:d} bytes a second")
+@given("a credit scheduler for a link of {rate:d} bytes a second")
 def given_credit(context: Context, rate: int) -> None:
     context.credit, context.now = BodyCreditScheduler(rate), 10.0
 
@@ -82,29 +82,29 @@
         context.credit.add(call, size)
 
 
-@then("body {call:d} is asked for first")
-@then("body {call:d} is asked for")
-def asked_first(context: Context, call: int) -> None:
+@then("body {call:d} is requested first")
+@then("body {call:d} is requested")
+def requested_first(context: Context, call: int) -> None:
     grants = context.credit.grants(context.now)
     assert grants and grants[0].call == call, grants
 
 
-@when("nothing comes for {seconds:g} seconds")
-def nothing_comes(context: Context, seconds: float) -> None:
+@when("nothing arrives for {seconds:g} seconds")
+def nothing_arrives(context: Context, seconds: float) -> None:
     due = context.credit.next_deadline()
     context.now += seconds
     assert due is not None and due <= context.now, due
 
 
-@then("the credit wants no timer that has passed")
+@then("the credit scheduler sets no timer in the past")
 def no_passed_timer(context: Context) -> None:
     context.credit.grants(context.now)
     due = context.credit.next_deadline()
     assert due is None or due > context.now, due
 
 
-@then("both bodies are asked for whole")
-def both_whole(context: Context) -> None:
+@then("both bodies are requested completely")
+def both_completely(context: Context) -> None:
     grants = context.credit.grants(context.now)
     assert {grant.call: grant.size for grant in grants} == context.sizes, grants
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps for loads: from agents' reports by way of relays to the proxies of their zone."""
+"""Steps for load reports: from agents through relays to the proxies of their zone."""
 
 from __future__ import annotations
 
--- a/features/steps/tenant_turns_steps.py
+++ b/features/steps/tenant_turns_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the turns of tenants within a group of an agent's queue."""
+"""Steps for the scheduling of tenants within a group of an agent's queue."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TenantLoad:
-    """Plays one route's calls through an agent's queue in virtual time."""
+    """Runs one route's calls through an agent's queue in simulated time."""
 
     def __init__(self, slots: int, rates: dict[str, float]) -> None:
         self.rates = rates
@@ -46,7 +46,7 @@
         self.tenant_of: dict[int, str] = {}
         self.started: list[int] = []
         self.running: list[tuple[float, int, float]] = []
-        self.asked: Counter[str] = Counter()
+        self.offered: Counter[str] = Counter()
         self.served: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
         self.targets: dict[int, float] = {}
@@ -55,7 +55,7 @@
         self.last += 1
         self.tenant_of[self.last] = tenant
         self.targets[self.last] = target
-        self.asked[tenant] += 1
+        self.offered[tenant] += 1
         deadline = self.now + DEADLINE
         call = QueuedCall(self.last, ROUTE, deadline, 0, self.now, target, tenant)
         return self.queue.offer(call, self.now)
@@ -74,8 +74,8 @@
         self.served[tenant] += 1
         self.in_time[tenant] += self.now <= self.targets[call]
 
-    def play(self, wanted: dict[str, float], work: float, target: float, seconds: float) -> None:
-        """Let calls come at random at the ``wanted`` rates."""
+    def run(self, wanted: dict[str, float], work: float, target: float, seconds: float) -> None:
+        """Run with random arrivals at the ``wanted`` rates."""
         source = random.Random(1)
         arrivals = [(source.expovariate(rate), name) for name, rate in wanted.items()]
         heapq.heapify(arrivals)
@@ -121,7 +121,7 @@
     assert load.last in load.started[:2], load.started
 
 
-@then("backlogged tenants are served within a call of their rates")
+@then("backlogged tenants are served by their rates to within one call")
 def check_rates(_context: Context) -> None:
     rates = st.lists(st.floats(0.1, 50.0), min_size=2, max_size=6)
 
@@ -149,31 +149,31 @@
 
 
 @when(
-    "calls of {work:d} ms with {target:d} ms to their target come for {seconds:d} s, at {times:d} "
-    "times the rate of hot and at the rate of the others"
+    "calls of {work:d} ms with {target:d} ms to their target arrive for {seconds:d} s, at "
+    "{times:d} times the rate of hot and at the rate of the others"
 )
-def play_hot(context: Context, work: int, target: int, seconds: int, times: int) -> None:
+def run_hot(context: Context, work: int, target: int, seconds: int, times: int) -> None:
     load = context.load
     load.seconds = seconds
     wanted = {name: rate * (times if name == "hot" else 1) for name, rate in load.rates.items()}
-    load.play(wanted, work / 1000, target / 1000, seconds)
+    load.run(wanted, work / 1000, target / 1000, seconds)
 
 
 @when(
-    "calls of {work:d} ms with {target:d} ms to their target come for {seconds:d} s, at twice the "
-    "rate of each"
+    "calls of {work:d} ms with {target:d} ms to their target arrive for {seconds:d} s, at twice"
+    " the rate of each"
 )
-def play_all(context: Context, work: int, target: int, seconds: int) -> None:
+def run_all(context: Context, work: int, target: int, seconds: int) -> None:
     wanted = {name: rate * 2 for name, rate in context.load.rates.items()}
-    context.load.play(wanted, work / 1000, target / 1000, seconds)
+    context.load.run(wanted, work / 1000, target / 1000, seconds)
 
 
-@then("at least {percent:d} in 100 calls of large, middle and small were answered in time")
+@then("at least {percent:d} percent of the calls of large, middle and small met their target")
 def check_others(context: Context, percent: int) -> None:
     load = context.load
     for name in ("large", "middle", "small"):
-        part = load.in_time[name] / load.asked[name]
-        assert part * 100 >= percent, (name, part, load.asked, load.in_time)
+        part = load.in_time[name] / load.offered[name]
+        assert part * 100 >= percent, (name, part, load.offered, load.in_time)
 
 
 @then("tenant hot was served at least {rate:d} calls a second")
@@ -182,11 +182,11 @@
     assert load.served["hot"] >= rate * load.seconds, load.served
 
 
-@then("each tenant was served at least half as often for its calls as all were")
+@then("each tenant had at least half the overall ratio of its calls served")
 def check_all(context: Context) -> None:
     load = context.load
-    usual = load.served.total() / load.asked.total()
-    parts = {name: load.served[name] / load.asked[name] for name in load.rates}
+    usual = load.served.total() / load.offered.total()
+    parts = {name: load.served[name] / load.offered[name] for name in load.rates}
     assert usual < 0.9, "there was room for all"
     assert all(part >= usual / 2 for part in parts.values()), (usual, parts)
 
@@ -201,8 +201,8 @@
     context.offered = load.offer("small")
 
 
-@then("the newest waiting call of tenant hot was given back with advice")
-def check_given_back(context: Context) -> None:
+@then("the newest waiting call of tenant hot was evicted with a retry time")
+def check_evicted(context: Context) -> None:
     (eviction,) = context.offered
     assert eviction.call == context.load.newest
     assert eviction.failure.retry_after > 0
@@ -213,13 +213,13 @@
     assert isinstance(context.load.offer("hot"), Failure)
 
 
-@when("{count:d} calls of no tenant wait")
+@when("{count:d} calls without a tenant wait")
 def wait_without(context: Context, count: int) -> None:
     for _ in range(count):
         context.load.offer("")
 
 
-@then("they start in the order in which they came")
+@then("they start in arrival order")
 def check_order(context: Context) -> None:
     load = context.load
     load.start(0.1)
--- a/features/steps/turned_away_steps.py
+++ b/features/steps/turned_away_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that a back end turns away unrun."""
+"""Steps for requests that the back end refuses without running them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.calls_pb2 import CallFailed
 
-REFUSED = Failure(ErrorKind.BACKEND_REFUSED, "the back end refused the request with 503")
+REFUSED = Failure(ErrorKind.BACKEND_REFUSED, "backend refused the request with status 503")
 
 
-@when("the back end turns agent stream {stream:d} away")
-def turn_away(context: Context, stream: int) -> None:
+@when("the back end refuses agent stream {stream:d} without running it")
+def refuse(context: Context, stream: int) -> None:
     attempt = context.agent.attempt_of(stream)
     context.agent.tell(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
 
@@ -24,11 +24,11 @@
     return next(message.retry_after_ms for message in sent if message.stream == stream)
 
 
-@then("agent stream {stream:d} is told to come back after at most {milliseconds:d} ms")
+@then("agent stream {stream:d} is told to retry after at most {milliseconds:d} ms")
 def told_at_most(context: Context, stream: int, milliseconds: int) -> None:
     assert 0 < told_ms(context, stream) <= milliseconds
 
 
-@then("agent stream {stream:d} is told to come back after at least {milliseconds:d} ms")
+@then("agent stream {stream:d} is told to retry after at least {milliseconds:d} ms")
 def told_at_least(context: Context, stream: int, milliseconds: int) -> None:
     assert told_ms(context, stream) >= milliseconds
--- a/features/steps/uneven_instances_steps.py
+++ b/features/steps/uneven_instances_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the pace of an instance: read from its answers, told to its zone, acted on."""
+"""Steps for the pace of an instance: parsed, reported to its zone, and used for balancing."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=100)
 NOW = 20.0
 PICKS = 40
-PACE_STEP = 20
+PACE_STEP_PERMILLE = 20
 
 
 @when('a back end\'s load header says "{header}"')
@@ -32,7 +32,7 @@
     context.pace = parse_pace(headers, HeaderNames(load=b"x-load"))
 
 
-@then("its pace is {pace:d} thousandths")
+@then("its pace is {pace:d} permille")
 def pace_is(context: Context, pace: int) -> None:
     assert context.pace == pace, context.pace
 
@@ -43,9 +43,9 @@
     context.agent.tell(AttemptAnswered(attempt, 200, (), b"", pace))
 
 
-@then('the agent has told its relay the paces "{paces}"')
-@then('the agent has told its relay the paces ""')
-def has_told(context: Context, paces: str = "") -> None:
+@then('the agent has reported the paces "{paces}" to its relay')
+@then('the agent has reported the paces "" to its relay')
+def has_reported(context: Context, paces: str = "") -> None:
     sent = [output.message for output in context.agent.of(SendMessage)]
     told = [message.pace_permille for message in sent if isinstance(message, LoadReport)]
     assert told == [int(each) for each in paces.split(", ") if each], told
@@ -58,7 +58,8 @@
 
 
 @given(
-    "two like endpoints of the zone, of which the first says that it takes {factor:g} times as long"
+    "two equal endpoints of the zone, of which the first reports a pace of {factor:g} times the"
+    " usual"
 )
 def given_two(context: Context, factor: float) -> None:
     endpoints = [agents(1, "here", 12, number)[0] for number in range(2)]
@@ -69,18 +70,18 @@
     context.balancer.observe_pace(context.usable[0].key, int(factor * 1000), NOW)
 
 
-@when("{seconds:g} seconds pass without word of it")
+@when("{seconds:g} seconds pass without a further report")
 def time_passes(context: Context, seconds: float) -> None:
     context.now += seconds
 
 
 def chosen(context: Context) -> set[int]:
-    """Return the places of the endpoints that calls go to, each in flight while others come."""
-    places = []
+    """Return the indexes of the chosen endpoints, with all calls in flight at once."""
+    indexes = []
     for _ in range(PICKS):
         entry = context.balancer.pick(context.usable, context.now, local_within=1.0)
-        places.append(context.usable.index(entry))
-    return set(places)
+        indexes.append(context.usable.index(entry))
+    return set(indexes)
 
 
 @then("calls go to the second")
@@ -96,8 +97,8 @@
 NEWS = st.builds(EndpointNews, st.integers(0, 255), st.integers(0, 5_000))
 
 
-@then("any news of endpoints comes out as it went in, paces to 20 thousandths")
-def comes_out(context: Context) -> None:
+@then("any endpoint update decodes to what was encoded, paces to within 20 permille")
+def round_trips(context: Context) -> None:
     @PROPERTY
     @examples(st.dictionaries(st.integers(0, 2**32 - 1), NEWS, max_size=8))
     def check(told) -> None:
@@ -105,19 +106,19 @@
         assert read.keys() == told.keys()
         for number, news in told.items():
             assert read[number].load == news.load
-            assert abs(read[number].pace_permille - news.pace_permille) <= PACE_STEP
+            assert abs(read[number].pace_permille - news.pace_permille) <= PACE_STEP_PERMILLE
 
     check()
 
 
-@then("news without paces takes no bytes for them")
+@then("an update without paces uses no bytes for them")
 def no_bytes(context: Context) -> None:
     update = pack("zone", {7: EndpointNews(3)})
     assert update == LoadUpdate(zone="zone", endpoints=[7], loads=b"\x03")
 
 
-@then("a message whose paces are cut short is read as far as they go")
-def cut_short(context: Context) -> None:
+@then("a message with fewer paces than endpoints is decoded as far as they go")
+def fewer_paces(context: Context) -> None:
     update = LoadUpdate(zone="zone", endpoints=[7, 8], loads=b"\x03\x04", paces=b"\x32")
     read = [each.news for each in unpack(update)]
     assert read == [EndpointNews(3, 1000), EndpointNews(4)], read
--- a/src/limelever/agent/connection_pool.py
+++ b/src/limelever/agent/connection_pool.py
@@ -95,9 +95,8 @@
     async def check_connect(self, timeout: float) -> BackendReach:
         """Return the result of opening a new connection within ``timeout`` seconds.
 
-        An opened connection is added to the pool. The result is read from the socket rather than
-        from the timeout, which may expire late or early relative to the backend if this process was
-        not scheduled.
+        An opened connection is added to the pool. The result is read from the socket, because
+        the timeout also expires if this process was not scheduled in the meantime.
         """
         address = self._settings.address
         try:
--- a/src/limelever/agent/load_reports.py
+++ b/src/limelever/agent/load_reports.py
@@ -19,7 +19,7 @@
 NORMAL_PACE_PERMILLE = 1000
 
 REPEAT_INTERVAL_SECONDS = 0.5
-"""Time after which an unchanged load is reported again, because receivers let it expire."""
+"""Time after which an unchanged load is reported again, because receivers let it decay."""
 
 
 class LoadReporter:
--- a/src/limelever/agent/response_checks.py
+++ b/src/limelever/agent/response_checks.py
@@ -12,18 +12,18 @@
 """Statuses that callers take as a statement that the request was not run."""
 
 
-def matches_request(request: Headers, answer: Headers, names: HeaderNames) -> bool:
+def matches_request(request: Headers, response: Headers, names: HeaderNames) -> bool:
     """Return whether a response belongs to the request, by its request id."""
     wanted = value_of(request, names.request_id)
     if not wanted:
         return True
-    found = value_of(answer, names.request_id)
+    found = value_of(response, names.request_id)
     return found == wanted or not (found or names.answers_repeat_id)
 
 
-def backend_refusal(status: int, answer: Headers, names: HeaderNames) -> Failure | None:
+def backend_refusal(status: int, response: Headers, names: HeaderNames) -> Failure | None:
     """Return the failure if the backend states that it did not run the request, or ``None``."""
-    if not value_of(answer, names.not_run):
+    if not value_of(response, names.not_run):
         return None
     if status == MISDIRECTED_REQUEST:
         return Failure(ErrorKind.WRONG_INCARNATION, "backend at this address is another instance")
--- a/src/limelever/agent/response_pacer.py
+++ b/src/limelever/agent/response_pacer.py
@@ -5,8 +5,8 @@
 
 Long responses are sent in chunks at the link rate, so that short messages wait for at most two
 chunks; the response with the earliest target goes first. A call whose response would be late is
-rejected before it runs. Lateness is measured against the call's target, or against its deadline if
-the target could not be met even on an idle link.
+rejected before it runs. A call that would miss its target even on an idle link is admitted only if
+it delays no other.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 """Transmission time of one chunk."""
 
 AHEAD_SECONDS = 0.016
-"""Maximum transmission time leaving on the link; keeps it busy when a timer fires late."""
+"""Queued transmission time below which the next chunk is sent; covers timers that fire late."""
 
 MIN_CHUNK_BYTES = 4096
 """Minimum chunk size at any link rate, to limit the overhead per message."""
--- a/src/limelever/agent/slot_reservation.py
+++ b/src/limelever/agent/slot_reservation.py
@@ -2,7 +2,7 @@
 
 Running calls are not preempted. If long, less urgent calls filled every slot, an urgent short call
 would have to wait for one of them to end. Slots that more urgent calls recently held on average are
-therefore kept free for them, except for the last slot.
+therefore kept free for them, but never all slots.
 """
 
 from __future__ import annotations
--- a/src/limelever/agent/wait_estimator.py
+++ b/src/limelever/agent/wait_estimator.py
@@ -126,8 +126,8 @@
 
     def _count_started_before(self, other: GroupQueue, start: float) -> int:
         """Return how many waiting calls of a group have a tag before ``start``."""
-        turns = math.ceil((start - other.start_tag) * other.weight / self.charge(other))
-        return min(len(other.calls), max(0, turns))
+        started = math.ceil((start - other.start_tag) * other.weight / self.charge(other))
+        return min(len(other.calls), max(0, started))
 
     def _mean_running_time(self) -> float:
         """Return the mean service time of the running calls."""
