--- a/features/steps/agent_backend_steps.py
+++ b/features/steps/agent_backend_steps.py
@@ -159,7 +159,7 @@
     assert (context.answers, context.server.connections) == (count, connections)
 
 
-async def send_behind(held: int, timeout: int, heard: list[bytes]) -> None:
+async def send_behind(held: int, timeout: int, requests: list[bytes]) -> None:
     """Hold the only connection for ``held`` seconds while a second attempt waits for it."""
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, trio.testing.MockClock)
@@ -168,7 +168,7 @@
 
     async def serve(stream: trio.SocketStream) -> None:
         for _ in range(2):
-            heard.append(await stream.receive_some(65536))
+            requests.append(await stream.receive_some(65536))
             arrived.set()
             await answer.wait()
             await stream.send_all(ANSWERS[b"/ok"])
@@ -193,13 +193,13 @@
 
 @when("an attempt whose caller waits {timeout:d} seconds gets its connection after {held:d}")
 def send_after_waiting(context: Context, timeout: int, held: int) -> None:
-    context.heard = []
+    context.requests = []
     clock = trio.testing.MockClock()
-    trio.run(send_behind, held, timeout, context.heard, clock=clock)
+    trio.run(send_behind, held, timeout, context.requests, clock=clock)
 
 
 @then("the agent's client told the back end that {left:d} ms are left")
 def check_time_left(context: Context, left: int) -> None:
-    lines = context.heard[-1].lower().split(b"\r\n")
-    told = [line for line in lines if line.startswith(b"x-limelever-timeout-ms")]
-    assert told == [b"x-limelever-timeout-ms: %d" % left], told
+    lines = context.requests[-1].lower().split(b"\r\n")
+    sent = [line for line in lines if line.startswith(b"x-limelever-timeout-ms")]
+    assert sent == [b"x-limelever-timeout-ms: %d" % left], sent
--- a/features/steps/backend_refusal_steps.py
+++ b/features/steps/backend_refusal_steps.py
@@ -19,16 +19,16 @@
     context.agent.tell(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
 
 
-def told_ms(context: Context, stream: int) -> int:
+def retry_ms(context: Context, stream: int) -> int:
     sent = context.agent.sent(PROXY_LINK, CallFailed)
     return next(message.retry_after_ms for message in sent if message.stream == stream)
 
 
 @then("agent stream {stream:d} is told to retry after at most {milliseconds:d} ms")
-def told_at_most(context: Context, stream: int, milliseconds: int) -> None:
-    assert 0 < told_ms(context, stream) <= milliseconds
+def retries_at_most(context: Context, stream: int, milliseconds: int) -> None:
+    assert 0 < retry_ms(context, stream) <= milliseconds
 
 
 @then("agent stream {stream:d} is told to retry after at least {milliseconds:d} ms")
-def told_at_least(context: Context, stream: int, milliseconds: int) -> None:
-    assert told_ms(context, stream) >= milliseconds
+def retries_at_least(context: Context, stream: int, milliseconds: int) -> None:
+    assert retry_ms(context, stream) >= milliseconds
--- a/features/steps/instance_pace_steps.py
+++ b/features/steps/instance_pace_steps.py
@@ -47,8 +47,8 @@
 @then('the agent has reported the paces "" to its relay')
 def has_reported(context: Context, paces: str = "") -> None:
     sent = [output.message for output in context.agent.of(SendMessage)]
-    told = [message.pace_permille for message in sent if isinstance(message, LoadReport)]
-    assert told == [int(each) for each in paces.split(", ") if each], told
+    reported = [message.pace_permille for message in sent if isinstance(message, LoadReport)]
+    assert reported == [int(each) for each in paces.split(", ") if each], reported
 
 
 @then("the last answer carries a pace of {pace:d}")
@@ -101,10 +101,10 @@
 def round_trips(context: Context) -> None:
     @PROPERTY
     @examples(st.dictionaries(st.integers(0, 2**32 - 1), NEWS, max_size=8))
-    def check(told) -> None:
-        read = {each.number: each.news for each in unpack(pack("zone", told))}
-        assert read.keys() == told.keys()
-        for number, news in told.items():
+    def check(updates) -> None:
+        read = {each.number: each.news for each in unpack(pack("zone", updates))}
+        assert read.keys() == updates.keys()
+        for number, news in updates.items():
             assert read[number].load == news.load
             assert abs(read[number].pace_permille - news.pace_permille) <= PACE_STEP_PERMILLE
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -48,13 +48,13 @@
     for name in names.split(", "):
         received = context.mesh.network.nodes[name].received
         updates = [message for message in received if isinstance(message, LoadUpdate)]
-        told = [
+        received_loads = [
             load
             for update in updates
             for at, load in zip(update.endpoints, update.loads, strict=True)
             if at == number
         ]
-        assert told == numbers(loads), (name, told)
+        assert received_loads == numbers(loads), (name, received_loads)
 
 
 @then('the agent has reported the loads "{loads}"')
@@ -71,16 +71,16 @@
     context.mesh.network.kill(name)
 
 
-def loads_heard(context: Context, relay: str) -> list[int]:
+def received_loads_of(context: Context, relay: str) -> list[int]:
     received = context.mesh.network.nodes[relay].received
     return [load for each in received if isinstance(each, LoadUpdate) for load in each.loads]
 
 
 @then('"{relay}" has heard no loads from "{other}"')
 def heard_none(context: Context, relay: str, other: str) -> None:
-    assert loads_heard(context, relay) == []
+    assert received_loads_of(context, relay) == []
 
 
 @then('"{relay}" has heard the loads "{loads}" from "{other}"')
 def heard_from(context: Context, relay: str, loads: str, other: str) -> None:
-    assert loads_heard(context, relay) == numbers(loads)
+    assert received_loads_of(context, relay) == numbers(loads)
