--- a/features/steps/distribution_harness.py
+++ b/features/steps/distribution_harness.py
@@ -33,7 +33,7 @@
 from limelever.publisher.core import PublisherCore
 from limelever.publisher.notices import FreshnessNeeded
 from limelever.publisher.settings import PublisherSettings
-from limelever.quarantine.evidence import Evidence
+from limelever.quarantine.crash_history import Evidence
 from limelever.relay.core import RelayCore, RelayOptions
 from limelever.relay.endpoints import EndpointsSettings
 from limelever.subscriber.core import SubscriberCore
--- a/features/steps/limits_ways.py
+++ b/features/steps/limits_ways.py
@@ -12,9 +12,9 @@
 
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import SendMessage
-from limelever.limits.gate import Gate
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.use_window import UseWindow
+from limelever.limits.tenant_limiter import Gate
+from limelever.limits.usage_window import UseWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.relay.limit_board import LimitBoard
--- a/features/steps/proxy_quarantine_steps.py
+++ b/features/steps/proxy_quarantine_steps.py
@@ -11,7 +11,7 @@
 from limelever.common.sansio import MessageReceived, Purpose
 from limelever.protocol.calls_pb2 import CallFailed
 from limelever.protocol.endpoints_pb2 import CrashNews, Suspect
-from limelever.quarantine.evidence import Evidence, Suspected
+from limelever.quarantine.crash_history import Evidence, Suspected
 from limelever.quarantine.fingerprint import Fingerprint, digest_text
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -18,9 +18,9 @@
 from limelever.proxy.group_limits import ShareKey
 from limelever.proxy.quarantine import CrashNewsFound, Quarantine
 from limelever.proxy.router import RouteEntry, RoutePart
-from limelever.quarantine.evidence import Evidence, Suspected
+from limelever.quarantine.crash_history import Evidence, Suspected
 from limelever.quarantine.fingerprint import Fingerprint
-from limelever.quarantine.terms import quarantine_time
+from limelever.quarantine.policy import quarantine_time
 
 CASES = settings(derandomize=True, max_examples=200, deadline=None, database=None)
 REQUEST = Fingerprint.of("orders", b"GET", b"/orders/1", b"")
--- a/features/steps/registered_agent.py
+++ b/features/steps/registered_agent.py
@@ -13,7 +13,7 @@
     LeaseRenew,
     Register,
 )
-from limelever.quarantine.evidence import Evidence, Suspected
+from limelever.quarantine.crash_history import Evidence, Suspected
 
 STATES = {
     "ready": ENDPOINT_STATE_READY,
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -28,8 +28,8 @@
 from limelever.proxy.endpoints import EndpointEntry, EndpointKey
 from limelever.proxy.version_gate import VersionGate
 from limelever.relay.tally_board import TallyBoard
-from limelever.rollout.judge import Finding, Verdict, judge
-from limelever.rollout.steps import WHOLE, End, GoOn, Limits, Running, Wait, decide
+from limelever.rollout.canary_analysis import Finding, Verdict, judge
+from limelever.rollout.progression import WHOLE, End, GoOn, Limits, Running, Wait, decide
 from limelever.rollout.tally import Tally, answers_in, joined
 from limelever.source.state import StateMachine
 
--- a/src/limelever/agent/backend_watch.py
+++ b/src/limelever/agent/backend_watch.py
@@ -16,7 +16,7 @@
 from limelever.common.deadlines import earliest
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.endpoints_pb2 import CrashNews
-from limelever.quarantine.evidence import Evidence, Suspected
+from limelever.quarantine.crash_history import Evidence, Suspected
 
 CRASH_BITS = 64
 """Bits of the number by which one end of a process is told from another."""
--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -15,7 +15,7 @@
 from limelever.common.sansio import ConnectionId, LogEvent
 from limelever.protocol.calls_pb2 import CallStart
 from limelever.protocol.config_pb2 import CALL_KIND_REPEATABLE
-from limelever.quarantine.evidence import Suspected
+from limelever.quarantine.crash_history import Suspected
 from limelever.quarantine.fingerprint import Fingerprint
 
 ATTEMPT_GENERATION_SECONDS = 30.0
--- a/src/limelever/agent/crash_watch.py
+++ b/src/limelever/agent/crash_watch.py
@@ -15,7 +15,7 @@
 
 from limelever.agent.interface import BackendReach
 from limelever.common.errors import Failure
-from limelever.quarantine.evidence import Suspected
+from limelever.quarantine.crash_history import Suspected
 
 SUSPECT_SECONDS = 1.0
 """A call that was given up this long before the end may have caused it; a choice, several times as
--- a/src/limelever/agent/replies.py
+++ b/src/limelever/agent/replies.py
@@ -12,7 +12,7 @@
 from limelever.common.errors import Failure
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
 from limelever.protocol.calls_pb2 import AgentLoad, CallStart
-from limelever.quarantine.evidence import Suspected
+from limelever.quarantine.crash_history import Suspected
 from limelever.quarantine.fingerprint import digest_text
 
 _MICROSECONDS = 1_000_000
--- a/src/limelever/control/process.py
+++ b/src/limelever/control/process.py
@@ -21,7 +21,7 @@
 from limelever.relay import process as relay_process
 from limelever.relay.core import RelayCore
 from limelever.relay.interface import RelaysKnown
-from limelever.rollout.steps import Limits
+from limelever.rollout.progression import Limits
 from limelever.source import process as source_process
 from limelever.source.operator_desk import OperatorDesk
 from limelever.source.operator_door import RequestChecks
--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -16,8 +16,8 @@
 from limelever.protocol.config_pb2 import ROLLOUT_STATE_RUNNING, Rollout
 from limelever.protocol.endpoints_pb2 import ENDPOINT_STATE_READY
 from limelever.relay.core import RelayCore
-from limelever.rollout.judge import Verdict, judge
-from limelever.rollout.steps import Decision, End, GoOn, Limits, Running, Wait, decide
+from limelever.rollout.canary_analysis import Verdict, judge
+from limelever.rollout.progression import Decision, End, GoOn, Limits, Running, Wait, decide
 from limelever.rollout.tally import joined
 from limelever.transport.log import write_event
 
--- a/src/limelever/limits/plan.py
+++ b/src/limelever/limits/admission_plan.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.use_window import UseWindow
+from limelever.limits.usage_window import UseWindow
 
 NEAR = 0.7
 """Part of the aim from which proxies are told. Beyond it, a tenant whose calls multiply would pass
--- a/src/limelever/limits/level.py
+++ b/src/limelever/limits/burst_bucket.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from limelever.limits.use_window import SLOT, UseWindow
+from limelever.limits.usage_window import SLOT, UseWindow
 
 _LONGEST_DEBT = 1.0
 """Seconds of its rate: what came beyond that is left to the window's bound."""
--- a/src/limelever/limits/gate.py
+++ b/src/limelever/limits/tenant_limiter.py
@@ -10,10 +10,10 @@
 
 import random
 
-from limelever.limits.in_touch import SILENT_AFTER
-from limelever.limits.plan import HORIZON
+from limelever.limits.admission_plan import HORIZON
+from limelever.limits.reachable_proxies import SILENT_AFTER
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.use_window import SLOT, UseWindow
+from limelever.limits.usage_window import SLOT, UseWindow
 
 _UNTOLD_GROWTH = 2.5
 """Times its equal part, or its use of late, that a proxy lets in untold: what callers of two zones
--- a/src/limelever/proxy/quarantine.py
+++ b/src/limelever/proxy/quarantine.py
@@ -13,14 +13,14 @@
 from limelever.protocol.endpoints_pb2 import CrashNews
 from limelever.proxy import events
 from limelever.proxy.call_state import AttemptEnded, Call
-from limelever.quarantine.evidence import Evidence, Suspected, Suspicion
+from limelever.quarantine.crash_history import Evidence, Suspected, Suspicion
 from limelever.quarantine.fingerprint import (
     Fingerprint,
     digest_text,
     head_digest,
     request_digest,
 )
-from limelever.quarantine.terms import quarantine_time
+from limelever.quarantine.policy import quarantine_time
 
 CRASHES_OF_ONE_CALL = 2
 """A request under which so many back ends have ended gets no second try within a call: the next
--- a/src/limelever/proxy/tenant_limits.py
+++ b/src/limelever/proxy/tenant_limits.py
@@ -13,10 +13,10 @@
 from msgspec import Struct
 
 from limelever.common.errors import ErrorKind, Failure
-from limelever.limits.gate import Gate
-from limelever.limits.in_touch import MEMORY, QUIET_INTERVAL, SILENT_AFTER
+from limelever.limits.reachable_proxies import MEMORY, QUIET_INTERVAL, SILENT_AFTER
 from limelever.limits.rules import Limit, LimitRules
 from limelever.limits.tenant_hash import tenant_hash
+from limelever.limits.tenant_limiter import Gate
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenants import TenantEntry
 
--- a/src/limelever/proxy/version_gate.py
+++ b/src/limelever/proxy/version_gate.py
@@ -20,7 +20,7 @@
 )
 from limelever.protocol.endpoint_hash import endpoint_hash
 from limelever.proxy.endpoints import EndpointEntry
-from limelever.rollout.steps import WHOLE
+from limelever.rollout.progression import WHOLE
 
 Entries = Sequence[EndpointEntry]
 
--- a/src/limelever/quarantine/evidence.py
+++ b/src/limelever/quarantine/crash_history.py
@@ -18,7 +18,7 @@
 
 from limelever.protocol.endpoints_pb2 import CrashNews, Suspect
 from limelever.quarantine.fingerprint import Fingerprint
-from limelever.quarantine.terms import CONVICTING_CRASHES, kept_time
+from limelever.quarantine.policy import CONVICTING_CRASHES, kept_time
 
 REQUESTS_LIMIT = 1024
 """Requests remembered: 0.8 MB with two crashes each, 43 kB for a machine that begins to listen."""
--- a/src/limelever/relay/crash_board.py
+++ b/src/limelever/relay/crash_board.py
@@ -10,7 +10,7 @@
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
 from limelever.protocol.endpoints_pb2 import CrashNews
 from limelever.publisher.batching import BatchTimer
-from limelever.quarantine.evidence import Evidence
+from limelever.quarantine.crash_history import Evidence
 from limelever.quarantine.fingerprint import digest_text
 from limelever.relay import events
 
--- a/src/limelever/relay/limit_board.py
+++ b/src/limelever/relay/limit_board.py
@@ -13,11 +13,11 @@
 from msgspec import Struct
 
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
-from limelever.limits.in_touch import QUIET_INTERVAL, SILENT_AFTER, ProxiesInTouch
-from limelever.limits.level import BurstLevel
-from limelever.limits.plan import allowed_permille, must_be_told
+from limelever.limits.admission_plan import allowed_permille, must_be_told
+from limelever.limits.burst_bucket import BurstLevel
+from limelever.limits.reachable_proxies import QUIET_INTERVAL, SILENT_AFTER, ProxiesInTouch
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.use_window import UseWindow
+from limelever.limits.usage_window import UseWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.relay import events
 from limelever.relay.use_of_relays import UseOfRelays
--- a/src/limelever/relay/use_of_relays.py
+++ b/src/limelever/relay/use_of_relays.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct, field
 
-from limelever.limits.in_touch import SILENT_AFTER
-from limelever.limits.use_window import UseWindow
+from limelever.limits.reachable_proxies import SILENT_AFTER
+from limelever.limits.usage_window import UseWindow
 
 
 class _Told(Struct):
--- a/src/limelever/relay/use_to_tell.py
+++ b/src/limelever/relay/use_to_tell.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from limelever.limits.in_touch import QUIET_INTERVAL
+from limelever.limits.reachable_proxies import QUIET_INTERVAL
 from limelever.limits.rules import Limit, LimitRules
 from limelever.protocol.limits_pb2 import TenantUse
 
--- a/src/limelever/rollout/steps.py
+++ b/src/limelever/rollout/progression.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from limelever.rollout.judge import Finding, Verdict
+from limelever.rollout.canary_analysis import Finding, Verdict
 
 WHOLE = 1000
 """Calls in a thousand."""
