--- a/features/steps/keyed_audit.py
+++ b/features/steps/keyed_audit.py
@@ -62,7 +62,7 @@
 
     def _by_limit(self) -> list[str]:
         """Count the requests that were both sent and run in a window, from each one's sending."""
-        most = RULES.most(LIMIT)
+        most = RULES.max_calls(LIMIT)
         broken = []
         for start, _ in self._limited:
             end = start + RULES.window
--- a/features/steps/limits_fleet.py
+++ b/features/steps/limits_fleet.py
@@ -201,7 +201,7 @@
     def over_the_bound(self, tenant: Tenant, since: float = 0.0) -> float:
         """Return by how many calls the bound was passed at the worst; under 0 if it was kept."""
         limit = Limit(tenant.entry.rate, tenant.entry.burst)
-        return self.most_in_a_window(tenant, since) - self.rules.most(limit)
+        return self.most_in_a_window(tenant, since) - self.rules.max_calls(limit)
 
     # --- how it goes on --------------------------------------------------------------------
 
--- a/features/steps/limits_ways.py
+++ b/features/steps/limits_ways.py
@@ -13,17 +13,17 @@
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import SendMessage
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.tenant_limiter import Gate
-from limelever.limits.usage_window import UseWindow
+from limelever.limits.tenant_limiter import TenantLimiter
+from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.relay.limit_board import LimitBoard
 
 
-class FractionGate(Gate):
-    def try_admit(self, silent: float, fleet: int, now: float) -> bool:
-        admitted = not self._told or self._within_told_part()
-        self.use.add(now, int(admitted), int(not admitted))
+class FractionGate(TenantLimiter):
+    def try_admit(self, update_age: float, fleet_size: int, now: float) -> bool:
+        admitted = not self._has_fraction or self._admits_fraction()
+        self.usage.add(now, int(admitted), int(not admitted))
         return admitted
 
 
@@ -37,11 +37,11 @@
 
 class FractionBoard(LimitBoard):
     def _plan(self, now: float) -> LimitNews:
-        news = LimitNews(proxies=self._in_touch.fleet)
+        news = LimitNews(proxies=self._in_touch.fleet_size)
         for tenant, limit in self._limits.items():
             parts = self._others.with_own(tenant, self._own.get(tenant))
-            asked = sum(use.asked_rate(now) for use in parts)
-            allowed = self._rules.aim(limit) / self._rules.window
+            asked = sum(use.request_rate(now) for use in parts)
+            allowed = self._rules.target_calls(limit) / self._rules.window
             if asked > allowed:
                 news.tenants.append(tenant)
                 news.permille.append(int(1000 * allowed / asked))
@@ -67,7 +67,7 @@
             return None
         limit = Limit(tenant.rate, tenant.burst)
         rate, until = self._rates.get(number, (0.0, 0.0))
-        equal = self._rules.aim(limit) / max(1, self._nodes)
+        equal = self._rules.target_calls(limit) / max(1, self._nodes)
         if now > until:
             rate = equal / self._rules.window
         most = 1.0 + self._rules.slack / max(1, self._nodes) + rate
@@ -75,7 +75,7 @@
         tokens = min(most, tokens + rate * (now - at))
         self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
         self._note(number, tokens >= 1)
-        self._gates[number].use.add(now, int(tokens >= 1), int(tokens < 1))
+        self._gates[number].usage.add(now, int(tokens >= 1), int(tokens < 1))
         return None if tokens >= 1 else Failure(ErrorKind.RATE_LIMITED, "no lease")
 
     def take_news(self, news, now):
@@ -89,7 +89,7 @@
 
     def __init__(self, rules: LimitRules) -> None:
         super().__init__(rules)
-        self._asked: dict[int, dict[str, UseWindow]] = {}
+        self._asked: dict[int, dict[str, UsageWindow]] = {}
         self._leases: dict[int, dict[str, list[tuple[float, float]]]] = {}
         self._begun_at: float | None = None
 
@@ -102,7 +102,7 @@
             return
         for told in self._news_in(f"proxy {name}", use, now):
             by_name = self._asked.setdefault(told.tenant, {})
-            window = by_name.setdefault(name, UseWindow(self._rules.window))
+            window = by_name.setdefault(name, UsageWindow(self._rules.window))
             window.add(told.at, told.admitted, told.refused)
 
     def on_deadline(self, now: float):
@@ -118,9 +118,9 @@
         return [SendMessage(each, news[name]) for each, name in self._proxies.items()]
 
     def _lease(self, tenant: int, limit: Limit, news: dict[str, LimitNews], now: float) -> None:
-        most = self._rules.aim(limit) / self._rules.window
+        most = self._rules.target_calls(limit) / self._rules.window
         asked = self._asked.get(tenant, {})
-        wants = {name: _HEADROOM * use.asked_rate(now) for name, use in asked.items()}
+        wants = {name: _HEADROOM * use.request_rate(now) for name, use in asked.items()}
         scale = min(1.0, most / sum(wants.values())) if any(wants.values()) else 0.0
         held = self._leases.setdefault(tenant, {})
         for name in list(held):
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -176,7 +176,7 @@
     fleet = context.fleet
     for tenant in chosen(context, names):
         got = sum(1 for at in tenant.admitted if at > fleet.now - seconds)
-        calls = fleet.rules.calls(Limit(tenant.entry.rate, tenant.entry.burst))
+        calls = fleet.rules.nominal_calls(Limit(tenant.entry.rate, tenant.entry.burst))
         assert got >= percent / 100 * calls, (tenant.entry, got, calls)
 
 
--- a/features/steps/tenant_refusal_steps.py
+++ b/features/steps/tenant_refusal_steps.py
@@ -65,7 +65,7 @@
 
 @given("the limit of {calls:d} calls in a window at a proxy that hears of no other")
 def given_alone(context: Context, calls: int) -> None:
-    rules = LimitRules(over=0.0, slack=0.0)
+    rules = LimitRules(excess=0.0, slack=0.0)
     context.tenant = TenantEntry("north", 0, calls / rules.window, 0.0)
     context.limits = TenantLimits(rules, random.Random(1))
     context.limits.set_tenants({"north": context.tenant})
--- a/src/limelever/limits/__init__.py
+++ b/src/limelever/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits of tenants over all proxies together: pure decisions and counts."""
+"""Fleet-wide rate limits of tenants: admission decisions and call counts, without I/O."""
--- a/src/limelever/limits/admission_plan.py
+++ b/src/limelever/limits/admission_plan.py
@@ -1,8 +1,7 @@
-"""How much of what a tenant asks the fleet may let in now, by what it let in of late.
+"""Computes which fraction of a tenant's requested calls the fleet may admit, from recent usage.
 
-Answers the load of one tenant that sends many times its usual from all zones at once. Each proxy
-lets in the same part of what it is asked, so that what a tenant gets follows its callers, and
-what was let in too much before the news came is taken back at once.
+All proxies admit the same fraction, so that calls are admitted in proportion to where they arrive.
+Calls that were admitted beyond the limit lower the next fraction.
 """
 
 from __future__ import annotations
@@ -10,48 +9,50 @@
 from collections.abc import Sequence
 
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.usage_window import UseWindow
+from limelever.limits.usage_window import UsageWindow
 
-NEAR = 0.7
-"""Part of the aim from which proxies are told. Beyond it, a tenant whose calls multiply would pass
-its limit before the news of that are round."""
+NEAR_LIMIT_FRACTION = 0.7
+"""Fraction of the target from which proxies receive updates for a tenant. Leaves room for a rise in
+load until the updates arrive."""
 
-HORIZON = 0.5
-"""Seconds ahead for which the room is planned: two rounds of news."""
+PLANNING_HORIZON = 0.5
+"""Seconds for which a fraction is planned: two update rounds."""
 
-_NEAR_SLACK = 0.25
-"""Part of the slack, in calls a second, by which a tenant's asking may pass its rate untold: the
-calls of small tenants come in clumps."""
+_UNREPORTED_SLACK_FRACTION = 0.25
+"""Fraction of the slack, in calls a second, by which requests may exceed the rate before proxies
+receive updates; the calls of small tenants are bursty."""
 
-LARGEST_PERMILLE = 60_000
+MAX_PERMILLE = 60_000
 
 
-def allowed_permille(use: UseWindow, level: float, rate: float, aim: float, now: float) -> int:
-    """Return the part of what is asked that may be let in, in permille; 0 for nothing.
+def admission_permille(
+    usage: UsageWindow, tokens: float, rate: float, target: float, now: float
+) -> int:
+    """Return how many of 1000 requested calls may be admitted.
 
-    ``level`` are the calls that may come at once, below 0 where too many have, and ``rate`` those
-    a second. ``aim`` bounds the calls of the window.
+    ``tokens`` are the calls that may be admitted at once, negative for a debt, and ``rate`` those a
+    second. ``target`` bounds the calls in the window.
     """
-    room = max(0.0, aim - use.admitted(now) + use.leaving(now, HORIZON))
-    planned = min(room / HORIZON, max(0.0, rate + level / HORIZON))
-    asked = use.asked_rate(now)
-    if planned <= 0.0:
+    room = max(0.0, target - usage.admitted(now) + usage.expiring(now, PLANNING_HORIZON))
+    planned_rate = min(room / PLANNING_HORIZON, max(0.0, rate + tokens / PLANNING_HORIZON))
+    requested = usage.request_rate(now)
+    if planned_rate <= 0.0:
         return 0
-    if planned >= asked * LARGEST_PERMILLE / 1000:
-        return LARGEST_PERMILLE
-    return int(1000 * planned / asked)
+    if planned_rate >= requested * MAX_PERMILLE / 1000:
+        return MAX_PERMILLE
+    return int(1000 * planned_rate / requested)
 
 
-def must_be_told(
-    parts: Sequence[UseWindow], rules: LimitRules, limit: Limit, aim: float, now: float
+def needs_updates(
+    parts: Sequence[UsageWindow], rules: LimitRules, limit: Limit, target: float, now: float
 ) -> bool:
-    """Return whether proxies must be told of a tenant: near its limit, or refused of late.
+    """Return whether proxies need updates for a tenant: it is near its limit or was refused calls.
 
-    Its use is the sum of ``parts``.
+    The tenant's usage is the sum of ``parts``.
     """
-    if sum(use.admitted(now) for use in parts) > NEAR * aim:
+    if sum(usage.admitted(now) for usage in parts) > NEAR_LIMIT_FRACTION * target:
         return True
-    if any(use.was_refused(now) for use in parts):
+    if any(usage.has_recent_refusals(now) for usage in parts):
         return True
-    asked = sum(use.asked_rate(now) for use in parts)
-    return asked > limit.rate + _NEAR_SLACK * rules.slack
+    requested = sum(usage.request_rate(now) for usage in parts)
+    return requested > limit.rate + _UNREPORTED_SLACK_FRACTION * rules.slack
--- a/src/limelever/limits/burst_bucket.py
+++ b/src/limelever/limits/burst_bucket.py
@@ -1,38 +1,44 @@
-"""How many calls of a tenant may come at once: its burst, less what came beyond its rate.
+"""A token bucket per tenant that spreads its calls over the window of its limit.
 
-The window alone would let a tenant that begins to send too much have all its calls in the first
-second, and refuse it for the rest of the window what its rate allows.
+The window alone would let a tenant use all of its calls at once and be refused for the rest of the
+window.
 """
 
 from __future__ import annotations
 
-from limelever.limits.usage_window import SLOT, UseWindow
+from limelever.limits.usage_window import SLOT_SECONDS, UsageWindow
 
-_LONGEST_DEBT = 1.0
-"""Seconds of its rate: what came beyond that is left to the window's bound."""
+_MAX_DEBT_SECONDS = 1.0
+"""Largest debt of the bucket, in seconds of the refill rate; the window bounds further excess."""
 
 
-class BurstLevel:
-    """One tenant's level, kept by slots, so that sums that come late are counted where they belong.
+class BurstBucket:
+    """The token bucket of one tenant, replayed slot by slot so that late reports are counted.
 
-    Levels of slots that are not known count as full.
+    A slot without a stored level is taken to start from a full bucket.
     """
 
     def __init__(self) -> None:
-        self._by_slot: dict[int, float] = {}
-
-    def now(self, use: UseWindow, rate: float, most: float, now: float) -> float:
-        """Return the calls that may come at once, for ``rate`` a second and ``most`` at once."""
-        current = int(now // SLOT)
-        first = current - use.length + 1
-        level = self._by_slot.get(first - 1, most)
-        kept: dict[int, float] = {}
+        self._level_by_slot: dict[int, float] = {}
+
+    def tokens(self, usage: UsageWindow, rate: float, capacity: float, now: float) -> float:
+        """Return the tokens left, with ``rate`` tokens a second; negative for a debt."""
+        current = int(now // SLOT_SECONDS)
+        first = current - usage.length + 1
+        level = self._level_by_slot.get(first - 1, capacity)
+        levels: dict[int, float] = {}
         for slot in range(first, current):
-            level = _after(level, rate * SLOT, use.admitted_in(slot), rate, most)
-            kept[slot] = level
-        self._by_slot = kept
-        return _after(level, rate * (now - current * SLOT), use.admitted_in(current), rate, most)
-
-
-def _after(level: float, earned: float, used: int, rate: float, most: float) -> float:
-    return max(min(most, level + earned) - used, -_LONGEST_DEBT * rate)
+            level = _next_level(level, rate * SLOT_SECONDS, usage.admitted_in(slot), rate, capacity)
+            levels[slot] = level
+        self._level_by_slot = levels
+        return _next_level(
+            level,
+            rate * (now - current * SLOT_SECONDS),
+            usage.admitted_in(current),
+            rate,
+            capacity,
+        )
+
+
+def _next_level(level: float, refill: float, used: int, rate: float, capacity: float) -> float:
+    return max(min(capacity, level + refill) - used, -_MAX_DEBT_SECONDS * rate)
--- a/src/limelever/limits/reachable_proxies.py
+++ b/src/limelever/limits/reachable_proxies.py
@@ -1,8 +1,8 @@
-"""Which part of each limit the proxies in touch may hand out: the others may use theirs unheard.
+"""Computes the fraction of each limit that the reachable proxies may use.
 
-Answers a cut of the core, after which each side still serves: each hands out the part of its own
-proxies among all that there were, so that all sides together keep the limit. A proxy that hears of
-no relay keeps to the part of one.
+After a network partition each side admits calls in proportion to the proxies that it reaches, so
+that all sides together stay within the limit. The fleet size is the highest number of proxies seen
+recently, so that the share of unreachable proxies stays reserved for them.
 """
 
 from __future__ import annotations
@@ -11,68 +11,68 @@
 
 from msgspec import Struct
 
-SILENT_AFTER = 0.9
-"""Seconds without a word after which the other end counts as out of touch: words are at most 0.3 s
-apart, and a lost packet is sent again within less than that."""
+PEER_TIMEOUT = 0.9
+"""Seconds without a message after which a peer counts as unreachable. Allows for a keepalive and
+the retransmission of a lost packet."""
 
-QUIET_INTERVAL = 0.3
-"""Seconds after which a word is sent although nothing is new."""
+KEEPALIVE_INTERVAL = 0.3
+"""Seconds after which a message is sent although nothing has changed."""
 
-MEMORY = 120.0
-"""Seconds for which a proxy that is no longer heard of may still serve: longer than cuts last that
-nobody mends by hand. Until then the others leave it its part."""
+FLEET_SIZE_RETENTION = 120.0
+"""Seconds for which unreachable proxies still count towards the fleet size, as they may go on
+serving calls. Longer than partitions that heal by themselves."""
 
-SETTLED_AFTER = 3.0
-"""Seconds for which a number of proxies must be reached to count: one that changes its relay is
-counted at both until the first notices."""
+SETTLING_TIME = 3.0
+"""Seconds for which a number of proxies must be reached to count: a proxy that changes relays is
+briefly counted at both."""
 
 
-class _Reached(Struct, frozen=True):
+class _ProxyCount(Struct, frozen=True):
     at: float
     proxies: int
 
 
-class ProxiesInTouch:
-    """How many proxies are reached, and how many there were; times in seconds, monotonic."""
+class ReachableProxies:
+    """Tracks the number of reachable proxies and the fleet size; times in seconds, monotonic."""
 
     def __init__(self) -> None:
-        self._fewest: deque[_Reached] = deque()
-        self._most: deque[_Reached] = deque()
-        self._reached = 0
-        self._begun_at: float | None = None
+        self._minima: deque[_ProxyCount] = deque()
+        self._maxima: deque[_ProxyCount] = deque()
+        self._reachable = 0
+        self._started_at: float | None = None
 
     @property
-    def fleet(self) -> int:
-        """Return the most proxies that were reached for a while within the memory."""
-        return self._most[0].proxies if self._most else 0
+    def fleet_size(self) -> int:
+        """Return the highest settled number of proxies within ``FLEET_SIZE_RETENTION``."""
+        return self._maxima[0].proxies if self._maxima else 0
 
     @property
-    def reached(self) -> int:
-        """Return how many proxies are reached."""
-        return self._reached
+    def reachable(self) -> int:
+        """Return the number of reachable proxies."""
+        return self._reachable
 
     @property
-    def part(self) -> float:
-        """Return the part of the fleet that is reached."""
-        return min(1.0, self._reached / self.fleet) if self.fleet else 1.0
-
-    def note(self, reached: int, now: float) -> None:
-        """Take how many proxies' use is known from now on; to be called several times a second."""
-        self._reached = reached
-        if self._begun_at is None:
-            self._begun_at = now
-        while self._fewest and self._fewest[-1].proxies >= reached:
-            self._fewest.pop()
-        self._fewest.append(_Reached(now, reached))
-        while self._fewest[0].at < now - SETTLED_AFTER:
-            self._fewest.popleft()
-        if now >= self._begun_at + SETTLED_AFTER:
-            self.known(self._fewest[0].proxies, now)
-
-    def known(self, fleet: int, now: float) -> None:
-        """Take how many proxies there are, or were of late as others know."""
-        while self._most and self._most[-1].proxies <= fleet:
-            self._most.pop()
-        self._most.append(_Reached(now, fleet))
-        while self._most[0].at < now - MEMORY:
-            self._most.popleft()
+    def fraction(self) -> float:
+        """Return the reachable fraction of the fleet."""
+        return min(1.0, self._reachable / self.fleet_size) if self.fleet_size else 1.0
+
+    def update(self, reachable: int, now: float) -> None:
+        """Set the number of reachable proxies; to be called several times a second."""
+        self._reachable = reachable
+        if self._started_at is None:
+            self._started_at = now
+        while self._minima and self._minima[-1].proxies >= reachable:
+            self._minima.pop()
+        self._minima.append(_ProxyCount(now, reachable))
+        while self._minima[0].at < now - SETTLING_TIME:
+            self._minima.popleft()
+        if now >= self._started_at + SETTLING_TIME:
+            self.add_fleet_size(self._minima[0].proxies, now)
+
+    def add_fleet_size(self, fleet_size: int, now: float) -> None:
+        """Record a fleet size that was observed here or reported by a peer."""
+        while self._maxima and self._maxima[-1].proxies <= fleet_size:
+            self._maxima.pop()
+        self._maxima.append(_ProxyCount(now, fleet_size))
+        while self._maxima[0].at < now - FLEET_SIZE_RETENTION:
+            self._maxima.popleft()
--- a/src/limelever/limits/rules.py
+++ b/src/limelever/limits/rules.py
@@ -1,14 +1,14 @@
-"""What a limit means in calls: the rule that a deployment promises, and what the fleet aims at."""
+"""A tenant's limit, the number of calls that it guarantees, and the fleet's target below that."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-_MARGIN_USED = 0.1
-"""Part of the promised margin that is aimed at: the rest is for use that is not yet known."""
+_USED_MARGIN_FRACTION = 0.1
+"""Fraction of the permitted excess that the target uses; the rest covers calls not yet reported."""
 
-_SLACK_USED = 0.25
-"""Part of the slack that may come at once: the calls of small tenants come in clumps."""
+_BURST_SLACK_FRACTION = 0.25
+"""Fraction of the slack that may be used at once; the calls of small tenants are bursty."""
 
 
 class Limit(Struct, frozen=True):
@@ -19,29 +19,30 @@
 
 
 class LimitRules(Struct, frozen=True):
-    """In no window of ``window`` seconds do more calls run than rate x window + burst allow.
+    """How limits are enforced over a sliding window of ``window`` seconds.
 
-    By no more than the part ``over`` and ``slack`` calls may a tenant pass that.
+    A limit permits rate x window + burst calls in each window. A tenant may exceed that by at most
+    the fraction ``excess`` plus ``slack`` calls.
     """
 
     window: float = 5.0
-    over: float = 0.1
+    excess: float = 0.1
     slack: float = 20.0
 
-    def calls(self, limit: Limit) -> float:
-        """Return the calls that a limit stands for in any window."""
+    def nominal_calls(self, limit: Limit) -> float:
+        """Return the calls that a limit permits in a window."""
         return limit.rate * self.window + limit.burst
 
-    def most(self, limit: Limit) -> float:
-        """Return the calls that may never be passed in any window."""
-        return self.calls(limit) * (1 + self.over) + self.slack
+    def max_calls(self, limit: Limit) -> float:
+        """Return the calls in a window that must never be exceeded."""
+        return self.nominal_calls(limit) * (1 + self.excess) + self.slack
 
-    def burst(self, limit: Limit) -> float:
-        """Return the calls that the fleet lets in at once at most, as far as it knows."""
-        extra = self.aim(limit) - self.calls(limit)
-        return limit.burst + extra + _SLACK_USED * self.slack
+    def burst_capacity(self, limit: Limit) -> float:
+        """Return the calls that the fleet admits at once at most, by the usage known to it."""
+        margin = self.target_calls(limit) - self.nominal_calls(limit)
+        return limit.burst + margin + _BURST_SLACK_FRACTION * self.slack
 
-    def aim(self, limit: Limit) -> float:
-        """Return the calls that the fleet lets in at most in a window, as far as it knows."""
-        calls = self.calls(limit)
-        return calls + (self.most(limit) - calls) * _MARGIN_USED
+    def target_calls(self, limit: Limit) -> float:
+        """Return the calls that the fleet admits in a window at most, by the usage known to it."""
+        nominal = self.nominal_calls(limit)
+        return nominal + (self.max_calls(limit) - nominal) * _USED_MARGIN_FRACTION
--- a/src/limelever/limits/tenant_hash.py
+++ b/src/limelever/limits/tenant_hash.py
@@ -1,4 +1,4 @@
-"""The short name by which the use of tenants is told: relays and proxies compute it alike."""
+"""The hash that identifies a tenant in usage reports and limit updates."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def tenant_hash(name: str) -> int:
-    """Return eight bytes that stand for a tenant; two tenants with the same would share limits."""
+    """Return a 64-bit hash of a tenant's name; tenants whose hashes collide share one limit."""
     digest = blake2b(name.encode(), digest_size=_HASH_BYTES).digest()
     return int.from_bytes(digest)
--- a/src/limelever/limits/tenant_limiter.py
+++ b/src/limelever/limits/tenant_limiter.py
@@ -1,154 +1,168 @@
-"""Whether one proxy lets a tenant's next call in, by its own counts and by what its relay told.
+"""Admits or refuses the calls of one tenant at one proxy, by local counts and updates of the relay.
 
-Told of a tenant near its limit, it lets in the part of what it is asked that it was told, and
-little more than that part of what it was asked when it was told. Not told, it lets all in, up to
-some times its equal part: a tenant whose calls multiply doesn't pass its limit before the news of
-it are round. Out of touch, it keeps to its equal part of the limit, which nobody else hands out.
+Near the limit, the relay sends each proxy the fraction of requested calls to admit. Without such a
+fraction the proxy admits all calls up to a multiple of its equal share of the limit, so that a
+sudden rise in load stays within the limit until the next update. A proxy that receives no updates
+admits no more than its equal share, which no other proxy uses.
 """
 
 from __future__ import annotations
 
 import random
 
-from limelever.limits.admission_plan import HORIZON
-from limelever.limits.reachable_proxies import SILENT_AFTER
+from limelever.limits.admission_plan import PLANNING_HORIZON
+from limelever.limits.reachable_proxies import PEER_TIMEOUT
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.usage_window import SLOT, UseWindow
+from limelever.limits.usage_window import SLOT_SECONDS, UsageWindow
 
-_UNTOLD_GROWTH = 2.5
-"""Times its equal part, or its use of late, that a proxy lets in untold: what callers of two zones
-need that find the third one gone, with room to spare."""
+_UNTHROTTLED_GROWTH = 2.5
+"""Refill rate without a fraction from the relay, as a multiple of the proxy's equal share or recent
+usage, whichever is greater. Leaves room for the callers of a failed zone."""
 
-_UNTOLD_CALLS = 3.0
-_UNTOLD_PART = 0.07
-"""Calls at once above that, and besides the part of what it lets in, or may, in a window."""
+_UNTHROTTLED_BURST = 3.0
+_UNTHROTTLED_BURST_FRACTION = 0.07
+"""Token bucket capacity without a fraction: calls, plus a fraction of the window's usual calls."""
 
-_TOLD_GROWTH = 1.25
-_TOLD_CALLS = 2.0
-"""The same for a tenant near its limit: less, since its relay tells of room as soon as there is."""
+_THROTTLED_GROWTH = 1.25
+_THROTTLED_BURST = 2.0
+"""The same for a tenant near its limit; lower, as the relay sends a new fraction when there is
+room."""
 
-_FIRST_PART = 0.7
-_FIRST_PART_NEAR = 0.5
-"""Parts of its equal part to which a proxy keeps at first when it is out of touch: for a tenant of
-which it was told that it is near its limit, less."""
+_ISOLATED_FRACTION = 0.7
+_ISOLATED_NEAR_LIMIT_FRACTION = 0.5
+"""Fractions of its equal share that a proxy uses in the first window without updates; the second
+applies to tenants that were near their limit."""
 
-_LATER_PART = 0.9
-"""Part of what may never be passed that proxies out of touch use later, when all that was let in
-before has left the window."""
+_LONG_ISOLATED_FRACTION = 0.9
+"""Fraction of the hard limit that isolated proxies use once all calls admitted before the isolation
+have left the window."""
 
-_LATE_CAUTION = 0.3
-"""Part of all that while news are later than they were planned for: they may not come at all."""
+_LATE_UPDATE_FACTOR = 0.3
+"""Factor on admission rates while an update is overdue: the connection may be lost."""
 
-_DRAW_WINDOWS = 4
-"""Windows between two draws of whether the fraction of a call is let in out of touch."""
+_ROUNDING_WINDOWS = 4
+"""Windows between two draws of the rounding offset of an isolated proxy's share."""
 
-SHORTEST_WAIT = 0.1
-"""Seconds; sooner than the next news a caller needs not come back."""
+MIN_RETRY_AFTER = 0.1
+"""Seconds; equals the shortest interval between relay updates."""
 
 
-class Gate:
-    """One tenant's calls at one proxy; times in seconds, monotonic."""
+class TenantLimiter:
+    """Limits one tenant's calls at one proxy; times in seconds, monotonic."""
 
     def __init__(self, limit: Limit, rules: LimitRules, random_source: random.Random) -> None:
         self.limit = limit
-        self.use = UseWindow(rules.window)
+        self.usage = UsageWindow(rules.window)
         self._rules = rules
         self._random = random_source
-        self._part = 1.0
-        self._told = False
-        self._fill = 0.0
-        self._tokens = _UNTOLD_CALLS
-        self._filled_at: float | None = None
-        self._alone = 0
-        self._credit = random_source.random()
-        self._fraction = random_source.random()
-        self._drawn_at = 0.0
-
-    def told(self, permille: int, now: float) -> None:
-        """Take which part of what is asked may be let in until the next news."""
-        asked = max(self.use.asked_rate(now), self.use.asked(now) / self._rules.window)
-        self._part = permille / 1000
-        self._fill = _TOLD_GROWTH * self._part * asked
-        self._told = True
-
-    def free(self) -> None:
-        """Take that the tenant is not near its limit."""
-        self._told = False
-
-    def is_short(self, silent: float) -> bool:
-        """Return whether less may be let in than is asked, by news that still count.
-
-        What is let in then are calls that can be answered in time: a call that comes back late
-        takes the place of a fresh one, which would come back late in its turn.
+        self._fraction = 1.0
+        self._has_fraction = False
+        self._refill_rate = 0.0
+        self._tokens = _UNTHROTTLED_BURST
+        self._refilled_at: float | None = None
+        self._isolated_calls = 0
+        self._fraction_credit = random_source.random()
+        self._rounding_offset = random_source.random()
+        self._rounding_drawn_at = 0.0
+
+    def set_permille(self, permille: int, now: float) -> None:
+        """Set how many of 1000 requested calls to admit until the next update."""
+        requested = max(
+            self.usage.request_rate(now), self.usage.requested(now) / self._rules.window
+        )
+        self._fraction = permille / 1000
+        self._refill_rate = _THROTTLED_GROWTH * self._fraction * requested
+        self._has_fraction = True
+
+    def clear_permille(self) -> None:
+        """Drop the relay's fraction: the tenant is not near its limit."""
+        self._has_fraction = False
+
+    def is_throttled(self, update_age: float) -> bool:
+        """Return whether a current fraction from the relay admits fewer calls than are requested.
+
+        The caller then refuses calls that can't be answered in time, so that they don't displace
+        calls that can.
         """
-        return self._told and self._part < 1.0 and silent <= SILENT_AFTER
+        return self._has_fraction and self._fraction < 1.0 and update_age <= PEER_TIMEOUT
 
-    def try_admit(self, silent: float, fleet: int, now: float) -> bool:
-        """Count a call that is asked for, and return whether it is let in.
+    def try_admit(self, update_age: float, fleet_size: int, now: float) -> bool:
+        """Count a requested call and return whether it is admitted.
 
-        ``silent`` are the seconds since the relay's last news, of a ``fleet`` of so many proxies.
+        ``update_age`` is the time in seconds since the relay's last update, ``fleet_size`` the
+        number of proxies.
         """
-        equal = self._rules.aim(self.limit) / fleet
-        if silent > SILENT_AFTER:
-            admitted = self._out_of_touch(equal, fleet, silent, now)
-            self._alone += int(admitted)
+        share = self._rules.target_calls(self.limit) / fleet_size
+        if update_age > PEER_TIMEOUT:
+            admitted = self._admits_isolated(share, fleet_size, update_age, now)
+            self._isolated_calls += int(admitted)
         else:
-            self._alone = 0
-            caution = 1.0 if silent <= HORIZON else _LATE_CAUTION
-            admitted = self._in_touch(equal, caution, now)
-        self.use.add(now, int(admitted), int(not admitted))
+            self._isolated_calls = 0
+            factor = 1.0 if update_age <= PLANNING_HORIZON else _LATE_UPDATE_FACTOR
+            admitted = self._admits_connected(share, factor, now)
+        self.usage.add(now, int(admitted), int(not admitted))
         return admitted
 
-    def wait(self, silent: float, fleet: int) -> float:
-        """Return after how many seconds there is room for a call that was refused."""
+    def retry_after(self, update_age: float, fleet_size: int) -> float:
+        """Return the seconds after which to retry a refused call."""
         window = self._rules.window
-        equal = self._rules.aim(self.limit) / fleet
-        rate = self._fill if self._told and silent <= SILENT_AFTER else equal / window
-        return min(window, max(SHORTEST_WAIT, 1 / rate)) if rate > 0 else window
-
-    def _out_of_touch(self, equal: float, fleet: int, silent: float, now: float) -> bool:
-        """Return whether a call is within the own part, which nobody else hands out.
-
-        For a window, what other proxies used beyond their parts still counts: it goes by what was
-        told last, and by less than its part, or by its part of the slack, for small tenants.
+        share = self._rules.target_calls(self.limit) / fleet_size
+        rate = (
+            self._refill_rate
+            if self._has_fraction and update_age <= PEER_TIMEOUT
+            else share / window
+        )
+        return min(window, max(MIN_RETRY_AFTER, 1 / rate)) if rate > 0 else window
+
+    def _admits_isolated(
+        self, share: float, fleet_size: int, update_age: float, now: float
+    ) -> bool:
+        """Return whether a call fits the proxy's own share, without updates from the relay.
+
+        Within the first window, calls that other proxies admitted beyond their shares still count:
+        the proxy applies its last fraction and uses less than its share. For small tenants it may
+        use its share of the slack instead.
         """
-        if now - self._drawn_at > _DRAW_WINDOWS * self._rules.window:
-            self._drawn_at = now
-            self._fraction = self._random.random()
-        used = self.use.admitted(now) + 1 - self._fraction
-        if silent > SILENT_AFTER + self._rules.window:
-            return used <= _LATER_PART * self._rules.most(self.limit) / fleet
-        if self._told:
-            return used <= _FIRST_PART_NEAR * equal and self._within_told_part()
-        if used <= _FIRST_PART * equal:
+        if now - self._rounding_drawn_at > _ROUNDING_WINDOWS * self._rules.window:
+            self._rounding_drawn_at = now
+            self._rounding_offset = self._random.random()
+        used = self.usage.admitted(now) + 1 - self._rounding_offset
+        if update_age > PEER_TIMEOUT + self._rules.window:
+            return used <= _LONG_ISOLATED_FRACTION * self._rules.max_calls(self.limit) / fleet_size
+        if self._has_fraction:
+            return used <= _ISOLATED_NEAR_LIMIT_FRACTION * share and self._admits_fraction()
+        if used <= _ISOLATED_FRACTION * share:
             return True
-        return self._alone + 1 - self._fraction <= self._rules.slack / fleet
+        return self._isolated_calls + 1 - self._rounding_offset <= self._rules.slack / fleet_size
 
-    def _within_told_part(self, caution: float = 1.0) -> bool:
-        self._credit = min(2.0, self._credit + min(1.0, caution * self._part))
-        if self._credit < 1.0:
+    def _admits_fraction(self, factor: float = 1.0) -> bool:
+        """Return whether a call is among the fraction to admit."""
+        self._fraction_credit = min(2.0, self._fraction_credit + min(1.0, factor * self._fraction))
+        if self._fraction_credit < 1.0:
             return False
-        self._credit -= 1.0
+        self._fraction_credit -= 1.0
         return True
 
-    def _in_touch(self, equal: float, caution: float, now: float) -> bool:
-        """Return whether a call is within what was told, or within what may be let in untold."""
-        if not self._told:
-            usual = max(equal, self.use.admitted(now))
-            fill = caution * _UNTOLD_GROWTH * usual / self._rules.window
-            return self._take_token(fill, _UNTOLD_CALLS + _UNTOLD_PART * usual, now)
-        if not self._within_told_part(caution):
+    def _admits_connected(self, share: float, factor: float, now: float) -> bool:
+        """Return whether a call fits the relay's fraction, or the default rate without one."""
+        if not self._has_fraction:
+            usual = max(share, self.usage.admitted(now))
+            rate = factor * _UNTHROTTLED_GROWTH * usual / self._rules.window
+            return self._take_token(
+                rate, _UNTHROTTLED_BURST + _UNTHROTTLED_BURST_FRACTION * usual, now
+            )
+        if not self._admits_fraction(factor):
             return False
-        fill = caution * self._fill
-        if self._part < 1.0:
-            return self._take_token(fill, _TOLD_CALLS + fill * SLOT, now)
-        fill = max(fill, equal / self._rules.window)
-        return self._take_token(fill, _UNTOLD_CALLS + fill * SLOT, now)
-
-    def _take_token(self, fill: float, most: float, now: float) -> bool:
-        since = now if self._filled_at is None else self._filled_at
-        self._filled_at = now
-        self._tokens = min(most, self._tokens + fill * (now - since))
+        rate = factor * self._refill_rate
+        if self._fraction < 1.0:
+            return self._take_token(rate, _THROTTLED_BURST + rate * SLOT_SECONDS, now)
+        rate = max(rate, share / self._rules.window)
+        return self._take_token(rate, _UNTHROTTLED_BURST + rate * SLOT_SECONDS, now)
+
+    def _take_token(self, rate: float, capacity: float, now: float) -> bool:
+        since = now if self._refilled_at is None else self._refilled_at
+        self._refilled_at = now
+        self._tokens = min(capacity, self._tokens + rate * (now - since))
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/limelever/limits/usage_window.py
+++ b/src/limelever/limits/usage_window.py
@@ -1,4 +1,4 @@
-"""Counts of calls in the last window, by short slots of time, so that windows can be summed."""
+"""Sliding window of call counts in fixed time slots; windows of several sources can be merged."""
 
 from __future__ import annotations
 
@@ -6,107 +6,108 @@
 
 from msgspec import Struct
 
-SLOT = 0.25
-"""Seconds: a count leaves the window by so much later at most, to the safe side."""
+SLOT_SECONDS = 0.25
+"""Length of a slot. Counts stay in the window for up to one slot too long, never too short."""
 
-ASKED_SLOTS = 3
-"""Full slots by which the rate of asking is told: long enough for some calls of small tenants."""
+RATE_SLOTS = 3
+"""Complete slots over which the request rate is averaged; enough for a few calls of a small
+tenant."""
 
-REFUSED_SLOTS = 8
-"""Slots after a refusal in which proxies go on being told of a tenant."""
+REFUSAL_SLOTS = 8
+"""Slots for which a refusal counts as recent."""
 
 
-class SlotUse(Struct):
-    """Calls of one slot."""
+class SlotCounts(Struct):
+    """Call counts of one slot."""
 
     admitted: int = 0
     refused: int = 0
 
 
-class UseWindow:
-    """One tenant's calls; ``now`` and ages are in seconds, monotonic."""
+class UsageWindow:
+    """Call counts of one tenant; times are seconds of the monotonic clock."""
 
     def __init__(self, window: float) -> None:
-        self._length = int(window / SLOT) + 1
-        self._slots: dict[int, SlotUse] = {}
+        self._length = int(window / SLOT_SECONDS) + 1
+        self._slots: dict[int, SlotCounts] = {}
         self._admitted = 0
-        self._dropped = -self._length
+        self._last_expired = -self._length
 
     @property
     def length(self) -> int:
-        """Return the slots of the window, the current one included."""
+        """Return the number of slots in the window, including the current one."""
         return self._length
 
     def admitted_in(self, slot: int) -> int:
-        """Return the calls let in within one slot."""
-        use = self._slots.get(slot)
-        return use.admitted if use is not None else 0
+        """Return the calls admitted in one slot."""
+        counts = self._slots.get(slot)
+        return counts.admitted if counts is not None else 0
 
     def add(self, at: float, admitted: int, refused: int) -> None:
-        """Count calls at a time within the window."""
-        self._add(int(at // SLOT), admitted, refused)
+        """Add calls at a time within the window."""
+        self._add(int(at // SLOT_SECONDS), admitted, refused)
 
     def _add(self, slot: int, admitted: int, refused: int) -> None:
-        if slot <= self._dropped:
+        if slot <= self._last_expired:
             return
-        use = self._slots.setdefault(slot, SlotUse())
-        use.admitted += admitted
-        use.refused += refused
+        counts = self._slots.setdefault(slot, SlotCounts())
+        counts.admitted += admitted
+        counts.refused += refused
         self._admitted += admitted
 
-    def add_all(self, other: UseWindow) -> None:
-        """Count another window's calls as well."""
-        for slot, use in other._slots.items():
-            self._add(slot, use.admitted, use.refused)
+    def merge(self, other: UsageWindow) -> None:
+        """Add the calls of another window."""
+        for slot, counts in other._slots.items():
+            self._add(slot, counts.admitted, counts.refused)
 
-    def take_away(self, other: UseWindow) -> None:
-        """Count another window's calls, which were added before, no more."""
-        for slot, use in other._slots.items():
+    def subtract(self, other: UsageWindow) -> None:
+        """Remove the calls of another window that was merged before."""
+        for slot, counts in other._slots.items():
             if slot in self._slots:
-                self._add(slot, -use.admitted, -use.refused)
+                self._add(slot, -counts.admitted, -counts.refused)
 
     def admitted(self, now: float) -> int:
-        """Return the calls let in within the window until now, or a slot more."""
-        self._drop_old(now)
+        """Return the calls admitted in the window."""
+        self._drop_expired(now)
         return self._admitted
 
-    def leaving(self, now: float, within: float) -> int:
-        """Return how many of those are out of the window within the next seconds."""
-        last = int((now + within) // SLOT) - self._length
-        return sum(use.admitted for slot, use in self._slots.items() if slot <= last)
-
-    def asked_rate(self, now: float) -> float:
-        """Return the calls asked for a second, of late."""
-        current = int(now // SLOT)
-        slots = (self._slots.get(slot) for slot in range(current - ASKED_SLOTS, current + 1))
-        asked = sum(use.admitted + use.refused for use in slots if use is not None)
-        return asked / (now - (current - ASKED_SLOTS) * SLOT)
-
-    def asked(self, now: float) -> int:
-        """Return the calls asked for within the window until now, or a slot more."""
-        self._drop_old(now)
-        return sum(use.admitted + use.refused for use in self._slots.values())
-
-    def was_refused(self, now: float) -> bool:
-        """Return whether calls were refused of late."""
-        oldest = int(now // SLOT) - REFUSED_SLOTS
-        return any(use.refused for slot, use in self._slots.items() if slot >= oldest)
-
-    def slots(self, now: float) -> Iterator[tuple[float, SlotUse]]:
-        """Yield the age in seconds of each slot's end, and the calls in it."""
-        self._drop_old(now)
-        for slot, use in self._slots.items():
-            yield max(0.0, now - (slot + 1) * SLOT), use
+    def expiring(self, now: float, within: float) -> int:
+        """Return the admitted calls that leave the window within the given seconds."""
+        last = int((now + within) // SLOT_SECONDS) - self._length
+        return sum(counts.admitted for slot, counts in self._slots.items() if slot <= last)
+
+    def request_rate(self, now: float) -> float:
+        """Return the recent rate of requested calls a second, admitted or refused."""
+        current = int(now // SLOT_SECONDS)
+        slots = (self._slots.get(slot) for slot in range(current - RATE_SLOTS, current + 1))
+        requested = sum(counts.admitted + counts.refused for counts in slots if counts is not None)
+        return requested / (now - (current - RATE_SLOTS) * SLOT_SECONDS)
+
+    def requested(self, now: float) -> int:
+        """Return the calls requested in the window, admitted or refused."""
+        self._drop_expired(now)
+        return sum(counts.admitted + counts.refused for counts in self._slots.values())
+
+    def has_recent_refusals(self, now: float) -> bool:
+        """Return whether calls were refused in the last ``REFUSAL_SLOTS`` slots."""
+        oldest = int(now // SLOT_SECONDS) - REFUSAL_SLOTS
+        return any(counts.refused for slot, counts in self._slots.items() if slot >= oldest)
+
+    def slots(self, now: float) -> Iterator[tuple[float, SlotCounts]]:
+        """Yield the seconds since the end of each slot, and its counts."""
+        self._drop_expired(now)
+        for slot, counts in self._slots.items():
+            yield max(0.0, now - (slot + 1) * SLOT_SECONDS), counts
 
     def is_empty(self, now: float) -> bool:
-        """Return whether nothing was asked within the window."""
-        self._drop_old(now)
+        """Return whether no calls were requested in the window."""
+        self._drop_expired(now)
         return not self._slots
 
-    def _drop_old(self, now: float) -> None:
-        oldest = int(now // SLOT) - self._length
-        if oldest == self._dropped:
+    def _drop_expired(self, now: float) -> None:
+        last = int(now // SLOT_SECONDS) - self._length
+        if last == self._last_expired:
             return
-        self._dropped = oldest
-        for slot in [slot for slot in self._slots if slot <= oldest]:
+        self._last_expired = last
+        for slot in [slot for slot in self._slots if slot <= last]:
             self._admitted -= self._slots.pop(slot).admitted
--- a/src/limelever/proxy/tenant_limits.py
+++ b/src/limelever/proxy/tenant_limits.py
@@ -13,10 +13,14 @@
 from msgspec import Struct
 
 from limelever.common.errors import ErrorKind, Failure
-from limelever.limits.reachable_proxies import MEMORY, QUIET_INTERVAL, SILENT_AFTER
+from limelever.limits.reachable_proxies import (
+    FLEET_SIZE_RETENTION,
+    KEEPALIVE_INTERVAL,
+    PEER_TIMEOUT,
+)
 from limelever.limits.rules import Limit, LimitRules
 from limelever.limits.tenant_hash import tenant_hash
-from limelever.limits.tenant_limiter import Gate
+from limelever.limits.tenant_limiter import TenantLimiter
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenants import TenantEntry
 
@@ -43,7 +47,7 @@
     def __init__(self, rules: LimitRules, random_source: random.Random) -> None:
         self._rules = rules
         self._random = random_source
-        self._gates: dict[int, Gate] = {}
+        self._gates: dict[int, TenantLimiter] = {}
         self._hash_of: dict[str, int] = {}
         self._nodes = 0
         self._fleet = 0
@@ -60,7 +64,7 @@
 
     def set_tenants(self, by_name: Mapping[str, TenantEntry]) -> None:
         """Take the tenants of the configuration now in force; what was used stays counted."""
-        gates: dict[int, Gate] = {}
+        gates: dict[int, TenantLimiter] = {}
         self._hash_of = {}
         for name, tenant in by_name.items():
             if tenant.rate <= 0:
@@ -68,7 +72,7 @@
             number = self._hash_of[name] = tenant_hash(name)
             limit = Limit(tenant.rate, tenant.burst)
             held = self._gates.get(number)
-            gates[number] = held or Gate(limit, self._rules, self._random)
+            gates[number] = held or TenantLimiter(limit, self._rules, self._random)
             gates[number].limit = limit
         self._gates = gates
         self._unsent = {number: use for number, use in self._unsent.items() if number in gates}
@@ -86,7 +90,7 @@
         if number is None:
             return None
         gate = self._gates[number]
-        if is_late and gate.is_short(self._silent(now)):
+        if is_late and gate.is_throttled(self._silent(now)):
             return self._refusal(tenant, gate, now)
         admitted = gate.try_admit(self._silent(now), self._fleet_size(), now)
         self._note(number, admitted)
@@ -100,22 +104,22 @@
         """
         number = self._hash_of.get(name)
         if number is not None and now - admitted_at < self._rules.window:
-            self._gates[number].use.add(admitted_at, -1, 0)
+            self._gates[number].usage.add(admitted_at, -1, 0)
             self._unsent.setdefault(number, _Unsent()).admitted -= 1
             self._unsent_calls += 1
 
     def take_news(self, news: LimitNews, now: float) -> None:
         """Take what the relay tells; it replaces what was told before."""
-        if news.proxies >= self._fleet or now - self._fleet_at > MEMORY:
+        if news.proxies >= self._fleet or now - self._fleet_at > FLEET_SIZE_RETENTION:
             self._fleet, self._fleet_at = news.proxies, now
         self._news_at = now
         for number in self._told.difference(news.tenants):
             if number in self._gates:
-                self._gates[number].free()
+                self._gates[number].clear_permille()
         self._told = frozenset(news.tenants)
         for number, permille in zip(news.tenants, news.permille, strict=False):
             if number in self._gates:
-                self._gates[number].told(permille, now)
+                self._gates[number].set_permille(permille, now)
 
     def joined(self, now: float) -> TenantUse | None:
         """Return the window's use, for a relay that is followed from now on."""
@@ -125,7 +129,7 @@
         self._unsent = {}
         use = TenantUse(fleet=self._fleet)
         for number, gate in self._gates.items():
-            for age, slot in gate.use.slots(now):
+            for age, slot in gate.usage.slots(now):
                 use.tenants.append(number)
                 use.admitted.append(max(0, slot.admitted))
                 use.refused.append(slot.refused)
@@ -152,7 +156,7 @@
 
     def alone(self, now: float) -> bool:
         """Return whether the proxy keeps to its own part of each limit, hearing of no other."""
-        return bool(self._gates) and SILENT_AFTER < self._silent(now) < math.inf
+        return bool(self._gates) and PEER_TIMEOUT < self._silent(now) < math.inf
 
     def next_deadline(self) -> float | None:
         """Return when ``report`` is to be called, or ``None``."""
@@ -163,7 +167,7 @@
     def _sent(self, now: float) -> None:
         self._unsent_calls = 0
         self._report_at = now + REPORT_INTERVAL
-        self._quiet_at = now + QUIET_INTERVAL
+        self._quiet_at = now + KEEPALIVE_INTERVAL
 
     def _note(self, number: int, admitted: bool) -> None:
         unsent = self._unsent.setdefault(number, _Unsent())
@@ -179,14 +183,14 @@
     def _fleet_size(self) -> int:
         return max(1, self._fleet or self._nodes)
 
-    def _refusal(self, tenant: TenantEntry, gate: Gate, now: float) -> Failure:
+    def _refusal(self, tenant: TenantEntry, gate: TenantLimiter, now: float) -> Failure:
         silent = self._silent(now)
         known = f"news {silent:.1f} s old" if math.isfinite(silent) else "no news"
         reason = (
             f"tenant {tenant.name} is at its limit of {tenant.rate:g} calls a second and"
-            f" {tenant.burst:g} more ({gate.use.admitted(now)} calls here in the last"
+            f" {tenant.burst:g} more ({gate.usage.admitted(now)} calls here in the last"
             f" {self._rules.window:g} s, {known})"
         )
-        wait = gate.wait(silent, self._fleet_size())
+        wait = gate.retry_after(silent, self._fleet_size())
         about = (f"tenant/{tenant.name}",)
         return Failure(ErrorKind.RATE_LIMITED, reason, resources=about, retry_after=wait)
--- a/src/limelever/relay/limit_board.py
+++ b/src/limelever/relay/limit_board.py
@@ -13,11 +13,11 @@
 from msgspec import Struct
 
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
-from limelever.limits.admission_plan import allowed_permille, must_be_told
-from limelever.limits.burst_bucket import BurstLevel
-from limelever.limits.reachable_proxies import QUIET_INTERVAL, SILENT_AFTER, ProxiesInTouch
+from limelever.limits.admission_plan import admission_permille, needs_updates
+from limelever.limits.burst_bucket import BurstBucket
+from limelever.limits.reachable_proxies import KEEPALIVE_INTERVAL, PEER_TIMEOUT, ReachableProxies
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.usage_window import UseWindow
+from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.relay import events
 from limelever.relay.use_of_relays import UseOfRelays
@@ -45,13 +45,13 @@
     def __init__(self, rules: LimitRules) -> None:
         self._rules = rules
         self._limits: Mapping[int, Limit] = {}
-        self._own: dict[int, UseWindow] = {}
+        self._own: dict[int, UsageWindow] = {}
         self._others = UseOfRelays(rules.window)
         self._proxies: dict[ConnectionId, str] = {}
         self._relays: dict[ConnectionId, None] = {}
         self._heard_at: dict[str, float] = {}
-        self._levels: dict[int, BurstLevel] = {}
-        self._in_touch = ProxiesInTouch()
+        self._levels: dict[int, BurstBucket] = {}
+        self._in_touch = ReachableProxies()
         self._to_tell = UseToTell()
         self._news = LimitNews()
         self._news_at = 0.0
@@ -90,7 +90,7 @@
         if name is None:
             return
         for told in self._news_in(f"proxy {name}", use, now):
-            window = self._own.setdefault(told.tenant, UseWindow(self._rules.window))
+            window = self._own.setdefault(told.tenant, UsageWindow(self._rules.window))
             window.add(told.at, told.admitted, told.refused)
             self._to_tell.add(told.tenant, told.admitted, told.refused)
 
@@ -113,23 +113,23 @@
         self.next_at = now + NEWS_INTERVAL
         self._forget_silent(now)
         own = self._own_reached(now)
-        self._in_touch.note(own + self._others.proxies, now)
+        self._in_touch.update(own + self._others.proxies, now)
         return [*self._tell_relays(own, now), *self._tell_proxies(now), *self._logs()]
 
     def _logs(self) -> list[Output]:
         """Tell operators when part of each limit is held back, and when no longer."""
-        parted = self._in_touch.part < 1.0
+        parted = self._in_touch.fraction < 1.0
         if parted == self._parted:
             return []
         self._parted = parted
-        fields: dict[str, object] = {"fleet": self._in_touch.fleet}
+        fields: dict[str, object] = {"fleet": self._in_touch.fleet_size}
         if not parted:
             return [LogEvent(events.LIMITS_WHOLE, fields)]
-        return [LogEvent(events.LIMITS_PARTED, {"proxies": self._in_touch.reached, **fields})]
+        return [LogEvent(events.LIMITS_PARTED, {"proxies": self._in_touch.reachable, **fields})]
 
     def _own_reached(self, now: float) -> int:
         heard = (self._heard_at.get(f"proxy {name}") for name in self._proxies.values())
-        return sum(1 for at in heard if at is not None and now - at <= SILENT_AFTER)
+        return sum(1 for at in heard if at is not None and now - at <= PEER_TIMEOUT)
 
     def _forget_silent(self, now: float) -> None:
         self._others.expire(now)
@@ -144,39 +144,39 @@
 
     def _tell_proxies(self, now: float) -> list[Output]:
         news = self._plan(now)
-        if now - self._news_at < QUIET_INTERVAL and not _is_news(news, self._news):
+        if now - self._news_at < KEEPALIVE_INTERVAL and not _is_news(news, self._news):
             return []
         self._news, self._news_at = news, now
         return [SendMessage(proxy, news) for proxy in self._proxies]
 
     def _plan(self, now: float) -> LimitNews:
-        news = LimitNews(proxies=self._in_touch.fleet)
-        part = self._in_touch.part
+        news = LimitNews(proxies=self._in_touch.fleet_size)
+        part = self._in_touch.fraction
         for tenant, limit in self._limits.items():
             parts = self._others.with_own(tenant, self._own.get(tenant))
-            aim = self._rules.aim(limit) * part
-            if must_be_told(parts, self._rules, limit, aim, now):
+            aim = self._rules.target_calls(limit) * part
+            if needs_updates(parts, self._rules, limit, aim, now):
                 news.tenants.append(tenant)
                 news.permille.append(self._permille(tenant, limit, parts, now))
             else:
                 self._levels.pop(tenant, None)
         return news
 
-    def _permille(self, tenant: int, limit: Limit, parts: list[UseWindow], now: float) -> int:
-        use = UseWindow(self._rules.window)
+    def _permille(self, tenant: int, limit: Limit, parts: list[UsageWindow], now: float) -> int:
+        use = UsageWindow(self._rules.window)
         for each in parts:
-            use.add_all(each)
-        part = self._in_touch.part
-        rate, most = limit.rate * part, self._rules.burst(limit) * part
-        level = self._levels.setdefault(tenant, BurstLevel()).now(use, rate, most, now)
-        return allowed_permille(use, level, rate, self._rules.aim(limit) * part, now)
+            use.merge(each)
+        part = self._in_touch.fraction
+        rate, most = limit.rate * part, self._rules.burst_capacity(limit) * part
+        level = self._levels.setdefault(tenant, BurstBucket()).tokens(use, rate, most, now)
+        return admission_permille(use, level, rate, self._rules.target_calls(limit) * part, now)
 
     def _news_in(self, sender: str, use: TenantUse, now: float) -> Iterable[ToldUse]:
         """Yield what the sender tells that is not counted yet."""
         known_until = self._heard_at.get(sender, 0.0)
         self._heard_at[sender] = now
         if use.fleet:
-            self._in_touch.known(use.fleet, now)
+            self._in_touch.add_fleet_size(use.fleet, now)
         none = [0] * len(use.tenants)
         numbers = zip(
             use.tenants, use.admitted, use.refused or none, use.ages_ms or none, strict=False
@@ -189,7 +189,7 @@
                 yield ToldUse(tenant, admitted, refused, at)
 
     def _history(self, now: float) -> TenantUse:
-        use = TenantUse(proxies=self._own_reached(now), fleet=self._in_touch.fleet)
+        use = TenantUse(proxies=self._own_reached(now), fleet=self._in_touch.fleet_size)
         for tenant, window in self._own.items():
             for age, slot in window.slots(now):
                 use.tenants.append(tenant)
--- a/src/limelever/relay/use_of_relays.py
+++ b/src/limelever/relay/use_of_relays.py
@@ -8,15 +8,15 @@
 
 from msgspec import Struct, field
 
-from limelever.limits.reachable_proxies import SILENT_AFTER
-from limelever.limits.usage_window import UseWindow
+from limelever.limits.reachable_proxies import PEER_TIMEOUT
+from limelever.limits.usage_window import UsageWindow
 
 
 class _Told(Struct):
     proxies: int = 0
     at: float = 0.0
     in_touch: bool = False
-    windows: dict[int, UseWindow] = field(default_factory=dict)
+    windows: dict[int, UsageWindow] = field(default_factory=dict)
 
 
 class UseOfRelays:
@@ -25,7 +25,7 @@
     def __init__(self, window: float) -> None:
         self._window = window
         self._told: dict[str, _Told] = {}
-        self._sums: dict[int, UseWindow] = {}
+        self._sums: dict[int, UsageWindow] = {}
         self._cleaned_at = 0.0
 
     @property
@@ -40,14 +40,14 @@
         if not told.in_touch:
             told.in_touch = True
             for tenant, window in told.windows.items():
-                self._sum(tenant).add_all(window)
+                self._sum(tenant).merge(window)
 
     def add(self, address: str, tenant: int, at: float, admitted: int, refused: int) -> None:
         """Count calls at the proxies of a relay that was just heard."""
         windows = self._told[address].windows
         window = windows.get(tenant)
         if window is None:
-            window = windows[tenant] = UseWindow(self._window)
+            window = windows[tenant] = UsageWindow(self._window)
         window.add(at, admitted, refused)
         self._sum(tenant).add(at, admitted, refused)
 
@@ -63,12 +63,12 @@
             return
         told.in_touch = False
         for tenant, window in told.windows.items():
-            self._sum(tenant).take_away(window)
+            self._sum(tenant).subtract(window)
 
     def expire(self, now: float) -> None:
         """Lose the relays that have been silent, and forget what is out of the window."""
         for address, told in list(self._told.items()):
-            if now - told.at > SILENT_AFTER:
+            if now - told.at > PEER_TIMEOUT:
                 self._silent(address)
             if now - told.at > self._window:
                 del self._told[address]
@@ -78,17 +78,17 @@
                 _drop_empty(told.windows, now)
             _drop_empty(self._sums, now)
 
-    def with_own(self, tenant: int, own: UseWindow | None) -> list[UseWindow]:
+    def with_own(self, tenant: int, own: UsageWindow | None) -> list[UsageWindow]:
         """Return the use at the proxies of this relay, and that at all others in touch."""
         return [use for use in (own, self._sums.get(tenant)) if use is not None]
 
-    def _sum(self, tenant: int) -> UseWindow:
+    def _sum(self, tenant: int) -> UsageWindow:
         held = self._sums.get(tenant)
         if held is None:
-            held = self._sums[tenant] = UseWindow(self._window)
+            held = self._sums[tenant] = UsageWindow(self._window)
         return held
 
 
-def _drop_empty(windows: dict[int, UseWindow], now: float) -> None:
+def _drop_empty(windows: dict[int, UsageWindow], now: float) -> None:
     for tenant in [tenant for tenant, use in windows.items() if use.is_empty(now)]:
         del windows[tenant]
--- a/src/limelever/relay/use_to_tell.py
+++ b/src/limelever/relay/use_to_tell.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from limelever.limits.reachable_proxies import QUIET_INTERVAL
+from limelever.limits.reachable_proxies import KEEPALIVE_INTERVAL
 from limelever.limits.rules import Limit, LimitRules
 from limelever.protocol.limits_pb2 import TenantUse
 
@@ -70,7 +70,7 @@
             self._all_at = now
         is_news = bool(use.tenants) or proxies != self._proxies
         self._proxies = proxies
-        if not is_news and now - self._told_at < QUIET_INTERVAL:
+        if not is_news and now - self._told_at < KEEPALIVE_INTERVAL:
             return None
         self._told_at = now
         return use
@@ -78,4 +78,4 @@
 
 def _least(rules: LimitRules, limit: Limit, relays: int) -> float:
     """Return the calls that one relay may keep to itself."""
-    return (_UNTOLD_PART * rules.calls(limit) + _UNTOLD_SLACK * rules.slack) / relays
+    return (_UNTOLD_PART * rules.nominal_calls(limit) + _UNTOLD_SLACK * rules.slack) / relays
