--- a/features/steps/crash_news_steps.py
+++ b/features/steps/crash_news_steps.py
@@ -15,8 +15,8 @@
 @then('the proxies "{names}" know {count:d} crashes of the request')
 def step_know(context, names, count):
     for name in names.split(", "):
-        held = context.mesh.network.nodes[name].core.evidence.of(REQUEST.request)
-        assert held is not None and held.standing == count, (name, held)
+        held = context.mesh.network.nodes[name].core.evidence.get(REQUEST.request)
+        assert held is not None and held.consecutive_crashes == count, (name, held)
 
 
 @then("each was told {count:d} times at most")
--- a/features/steps/distribution_harness.py
+++ b/features/steps/distribution_harness.py
@@ -33,7 +33,7 @@
 from limelever.publisher.core import PublisherCore
 from limelever.publisher.notices import FreshnessNeeded
 from limelever.publisher.settings import PublisherSettings
-from limelever.quarantine.crash_history import Evidence
+from limelever.quarantine.crash_history import CrashHistory
 from limelever.relay.core import RelayCore, RelayOptions
 from limelever.relay.endpoints import EndpointsSettings
 from limelever.subscriber.core import SubscriberCore
@@ -109,7 +109,7 @@
         self.installed = []
         self.versions = []
         self.endpoints = {}
-        self.evidence = Evidence()
+        self.evidence = CrashHistory()
         self.crash_news = 0
 
     def handle(self, event, now):
@@ -117,7 +117,7 @@
         for output in outputs:
             if isinstance(output, CrashNewsReceived):
                 self.crash_news += not output.news.full
-                self.evidence.take(output.news, now)
+                self.evidence.merge(output.news, now)
             if isinstance(output, ConfigurationInstalled):
                 assert output.configuration.dangling() == ()
                 self.installed.append(output.version)
--- a/features/steps/proxy_quarantine_steps.py
+++ b/features/steps/proxy_quarantine_steps.py
@@ -11,8 +11,8 @@
 from limelever.common.sansio import MessageReceived, Purpose
 from limelever.protocol.calls_pb2 import CallFailed
 from limelever.protocol.endpoints_pb2 import CrashNews, Suspect
-from limelever.quarantine.crash_history import Evidence, Suspected
-from limelever.quarantine.fingerprint import Fingerprint, digest_text
+from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
+from limelever.quarantine.fingerprint import Fingerprint, format_digest
 
 
 def fingerprint(target: str, method: str = "GET", body: bytes = b"") -> Fingerprint:
@@ -25,10 +25,10 @@
 
 
 def tell_crashes(host: ProxyHost, request: Fingerprint, count: int) -> None:
-    evidence = Evidence()
+    evidence = CrashHistory()
     for crash in range(count):
-        evidence.crashed((Suspected(request, crash),), crash + 1, host.now)
-    tell(host, evidence.news((request.request,), host.now))
+        evidence.add_crash((SuspectRequest(request, crash),), crash + 1, host.now)
+    tell(host, evidence.update_for((request.request,), host.now))
 
 
 def told(host: ProxyHost) -> list[Suspect]:
@@ -37,7 +37,7 @@
 
 @given('a proxy whose operators have released "{target}"')
 def given_released(context: Context, target: str) -> None:
-    released = digest_text(fingerprint(target).request)
+    released = format_digest(fingerprint(target).request)
     resources = proxy_host.mesh_resources()
     resources[0].resource.service.released_requests.append(released)
     context.proxy = ProxyHost()
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -18,9 +18,9 @@
 from limelever.proxy.group_limits import ShareKey
 from limelever.proxy.quarantine import CrashNewsFound, Quarantine
 from limelever.proxy.router import RouteEntry, RoutePart
-from limelever.quarantine.crash_history import Evidence, Suspected
+from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
 from limelever.quarantine.fingerprint import Fingerprint
-from limelever.quarantine.policy import quarantine_time
+from limelever.quarantine.policy import quarantine_duration
 
 CASES = settings(derandomize=True, max_examples=200, deadline=None, database=None)
 REQUEST = Fingerprint.of("orders", b"GET", b"/orders/1", b"")
@@ -50,25 +50,25 @@
     @CASES
     @examples(st.lists(step, max_size=40), st.randoms(use_true_random=False))
     def check(steps, draw) -> None:
-        machines = [Evidence() for _ in range(MACHINES)]
+        machines = [CrashHistory() for _ in range(MACHINES)]
         for what, first, second, crash in steps:
             if what == "crash":
-                machines[first].crashed((Suspected(suspect(second), crash % 3),), crash, 0.0)
+                machines[first].add_crash((SuspectRequest(suspect(second), crash % 3),), crash, 0.0)
             elif what == "answer":
                 machines[first].clear(suspect(second).request)
             else:
-                machines[second].take(machines[first].all_news(0.0), 0.0)
+                machines[second].merge(machines[first].full_update(0.0), 0.0)
         for _ in range(MACHINES):
             order = draw.sample(range(MACHINES), MACHINES)
             for teller in order:
                 for listener in draw.sample(range(MACHINES), MACHINES):
-                    machines[listener].take(machines[teller].all_news(0.0), 0.0)
+                    machines[listener].merge(machines[teller].full_update(0.0), 0.0)
         verdicts = [
             {each.fingerprint: (each.crashes, each.cleared) for each in machine.all()}
             for machine in machines
         ]
         assert all(each == verdicts[0] for each in verdicts), verdicts
-        assert not any(each.missing_in(machines[0].all_news(0.0)) for each in machines)
+        assert not any(each.missing_from(machines[0].full_update(0.0)) for each in machines)
 
     check()
 
@@ -76,22 +76,22 @@
 @given("evidence of {count:d} crashes under a request")
 def evidence_of(context: Context, count: int) -> None:
     context.now = 0.0
-    context.evidence = Evidence()
+    context.evidence = CrashHistory()
     for crash in range(count):
-        context.evidence.crashed((Suspected(REQUEST, crash),), crash + 1, context.now)
-    context.told = context.evidence.all_news(context.now)
+        context.evidence.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, context.now)
+    context.told = context.evidence.full_update(context.now)
 
 
 @when("{count:d} back ends end at one moment under a request that runs at all of them")
 def end_at_once(context: Context, count: int) -> None:
-    context.now, context.evidence = 0.0, Evidence()
+    context.now, context.evidence = 0.0, CrashHistory()
     for crash in range(count):
-        context.evidence.crashed((Suspected(REQUEST),), crash + 1, context.now)
+        context.evidence.add_crash((SuspectRequest(REQUEST),), crash + 1, context.now)
 
 
 @when("a third back end ends under it")
 def third_ends(context: Context) -> None:
-    context.evidence.crashed((Suspected(REQUEST, 2),), 3, context.now)
+    context.evidence.add_crash((SuspectRequest(REQUEST, 2),), 3, context.now)
 
 
 @when("the request is answered")
@@ -101,27 +101,27 @@
 
 @when("news of the same crashes come once more")
 def told_again(context: Context) -> None:
-    assert context.evidence.take(context.told, context.now) == []
+    assert context.evidence.merge(context.told, context.now) == []
 
 
 @then("the request is convicted")
 def is_convicted(context: Context) -> None:
     context.evidence.expire(context.now)
-    held = context.evidence.of(REQUEST.request)
-    assert held is not None and held.convicted, held
+    held = context.evidence.get(REQUEST.request)
+    assert held is not None and held.is_quarantined, held
 
 
 @then("the request is not convicted")
 def is_not_convicted(context: Context) -> None:
-    held = context.evidence.of(REQUEST.request)
-    assert held is not None and not held.convicted, held
+    held = context.evidence.get(REQUEST.request)
+    assert held is not None and not held.is_quarantined, held
 
 
 @when("{count:d} others each share one crash")
 def many_others(context: Context, count: int) -> None:
     for number in range(count):
-        suspected = Suspected(suspect(number + 10))
-        context.evidence.crashed((suspected,), number + 10, context.now)
+        suspected = SuspectRequest(suspect(number + 10))
+        context.evidence.add_crash((suspected,), number + 10, context.now)
 
 
 @then("at most {count:d} requests are known, and the convicted one is among them")
@@ -132,7 +132,7 @@
 
 @then("news of all of them take at most {size:d} bytes")
 def news_are_bounded(context: Context, size: int) -> None:
-    news: CrashNews = context.evidence.all_news(context.now)
+    news: CrashNews = context.evidence.full_update(context.now)
     assert len(news.SerializeToString()) <= size, len(news.SerializeToString())
 
 
@@ -144,13 +144,13 @@
 @then("nothing is known of the request")
 def is_forgotten(context: Context) -> None:
     context.evidence.expire(context.now)
-    assert context.evidence.of(REQUEST.request) is None
+    assert context.evidence.get(REQUEST.request) is None
     assert not context.evidence.has_head(REQUEST.head)
 
 
 @then("requests with 3, 4, 5 and 12 crashes are kept away for 120, 240, 480 and 3600 seconds")
 def times_away(context: Context) -> None:
-    assert [quarantine_time(count) for count in (3, 4, 5, 12)] == [120, 240, 480, 3600]
+    assert [quarantine_duration(count) for count in (3, 4, 5, 12)] == [120, 240, 480, 3600]
 
 
 @then("requests that differ by service, method, target or body have digests of their own")
@@ -168,10 +168,10 @@
 @then("the digests of a request with a secret in its body don't hold the secret")
 def digests_hide(context: Context) -> None:
     secret = b"card 4000"
-    evidence = Evidence()
-    suspected = Suspected(Fingerprint.of("orders", b"PUT", b"/pay", secret))
-    evidence.crashed((suspected,), 1, 0.0)
-    assert secret not in evidence.all_news(0.0).SerializeToString()
+    evidence = CrashHistory()
+    suspected = SuspectRequest(Fingerprint.of("orders", b"PUT", b"/pay", secret))
+    evidence.add_crash((suspected,), 1, 0.0)
+    assert secret not in evidence.full_update(0.0).SerializeToString()
 
 
 class Proxies:
@@ -181,11 +181,11 @@
         self.draw = random.Random(7)
         self.outputs: list[list] = [[] for _ in range(count)]
         self.all = [Quarantine(random.Random(n), self.outputs[n]) for n in range(count)]
-        evidence = Evidence()
+        evidence = CrashHistory()
         for crash in range(crashes):
-            evidence.crashed((Suspected(REQUEST, crash),), crash + 1, 0.0)
+            evidence.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, 0.0)
         for each in self.all:
-            each.take(evidence.news((REQUEST.request,), 0.0), 0.0)
+            each.take(evidence.update_for((REQUEST.request,), 0.0), 0.0)
         self.calls = 0
 
     def come(self, proxy: int, now: float) -> bool:
@@ -234,7 +234,7 @@
 @then("a deadly one would have reached {count:d} back end in that time")
 def deadly_one(context: Context, count: int) -> None:
     proxies, now, reached = Proxies(len(context.proxies.all), 3), 0.0, 0
-    while now < 2 * quarantine_time(3):
+    while now < 2 * quarantine_duration(3):
         proxy = proxies.draw.randrange(len(proxies.all))
         if proxies.come(proxy, now):
             reached += 1
--- a/features/steps/registered_agent.py
+++ b/features/steps/registered_agent.py
@@ -13,7 +13,7 @@
     LeaseRenew,
     Register,
 )
-from limelever.quarantine.crash_history import Evidence, Suspected
+from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
 
 STATES = {
     "ready": ENDPOINT_STATE_READY,
@@ -65,9 +65,9 @@
         self._send(renewal)
 
     def tell_crash(self, request, crash):
-        evidence = Evidence()
-        evidence.crashed((Suspected(request, crash - 1),), crash, 0.0)
-        self._send(evidence.news((request.request,), 0.0))
+        evidence = CrashHistory()
+        evidence.add_crash((SuspectRequest(request, crash - 1),), crash, 0.0)
+        self._send(evidence.update_for((request.request,), 0.0))
 
     def _send(self, message):
         self.mesh.network.carry_out(self.name, [SendMessage(self.connection, message)])
--- a/src/limelever/agent/backend_watch.py
+++ b/src/limelever/agent/backend_watch.py
@@ -16,7 +16,7 @@
 from limelever.common.deadlines import earliest
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.endpoints_pb2 import CrashNews
-from limelever.quarantine.crash_history import Evidence, Suspected
+from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
 
 CRASH_BITS = 64
 """Bits of the number by which one end of a process is told from another."""
@@ -33,7 +33,7 @@
 
     held: tuple[HeldCall, ...] = ()
     crash: int = NO_CRASH
-    suspects: tuple[Suspected, ...] = ()
+    suspects: tuple[SuspectRequest, ...] = ()
     fell_silent: bool = False
     is_back: bool = False
 
@@ -125,8 +125,8 @@
         """Return when a connection is to be tried, ``None`` while there is no need."""
         return earliest(self._silence.next_deadline(), self._crashes.next_deadline())
 
-    def _report(self, suspects: Sequence[Suspected], now: float) -> int:
+    def _report(self, suspects: Sequence[SuspectRequest], now: float) -> int:
         crash = self._generator.getrandbits(CRASH_BITS)
-        evidence = Evidence()
-        self._news.append(evidence.news(evidence.crashed(suspects, crash, now), now))
+        evidence = CrashHistory()
+        self._news.append(evidence.update_for(evidence.add_crash(suspects, crash, now), now))
         return crash
--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -15,7 +15,7 @@
 from limelever.common.sansio import ConnectionId, LogEvent
 from limelever.protocol.calls_pb2 import CallStart
 from limelever.protocol.config_pb2 import CALL_KIND_REPEATABLE
-from limelever.quarantine.crash_history import Suspected
+from limelever.quarantine.crash_history import SuspectRequest
 from limelever.quarantine.fingerprint import Fingerprint
 
 ATTEMPT_GENERATION_SECONDS = 30.0
@@ -82,11 +82,11 @@
             tenant=start.tenant,
         )
 
-    def suspected(self) -> Suspected:
+    def suspected(self) -> SuspectRequest:
         """Return what the request is known by, should the back end end under it."""
         start = self.start
         fingerprint = Fingerprint.of(start.service, start.method, start.target, self.sent_body)
-        return Suspected(fingerprint, start.known_depth)
+        return SuspectRequest(fingerprint, start.known_depth)
 
 
 class Orphaned(Struct, frozen=True):
--- a/src/limelever/agent/crash_watch.py
+++ b/src/limelever/agent/crash_watch.py
@@ -15,7 +15,7 @@
 
 from limelever.agent.interface import BackendReach
 from limelever.common.errors import Failure
-from limelever.quarantine.crash_history import Suspected
+from limelever.quarantine.crash_history import SuspectRequest
 
 SUSPECT_SECONDS = 1.0
 """A call that was given up this long before the end may have caused it; a choice, several times as
@@ -50,7 +50,7 @@
 
 
 class _EndedCall(Struct, frozen=True):
-    suspected: Suspected
+    suspected: SuspectRequest
     at: float
 
 
@@ -70,14 +70,14 @@
         """Return whether connections broke, and it isn't known yet what that means."""
         return self._first_lost_at is not None
 
-    def lost(self, held: HeldCall, suspected: Suspected, now: float) -> None:
+    def lost(self, held: HeldCall, suspected: SuspectRequest, now: float) -> None:
         """Take a call whose connection ended before its answer."""
         self._held.append(held)
         self._ended.append(_EndedCall(suspected, now))
         if self._first_lost_at is None:
             self._first_lost_at = self._check_at = now
 
-    def given_up(self, suspected: Suspected, now: float) -> None:
+    def given_up(self, suspected: SuspectRequest, now: float) -> None:
         """Take a call that was ended from this side while the back end was at it."""
         self._ended.append(_EndedCall(suspected, now))
 
@@ -119,7 +119,7 @@
         self._tries = 0
         return held
 
-    def take_suspects(self, since: float) -> tuple[Suspected, ...]:
+    def take_suspects(self, since: float) -> tuple[SuspectRequest, ...]:
         """Return the requests that ended from ``since`` on, each once."""
         suspects = dict.fromkeys(each.suspected for each in self._ended if each.at >= since)
         self._ended.clear()
@@ -131,7 +131,7 @@
         assert self._first_lost_at is not None
         return self._first_lost_at - SUSPECT_SECONDS
 
-    def suspects_of_replaced(self, now: float) -> tuple[Suspected, ...]:
+    def suspects_of_replaced(self, now: float) -> tuple[SuspectRequest, ...]:
         """Return the suspects of a process that ended unseen, as its successor has come."""
         return self.take_suspects(now - REPLACED_SECONDS)
 
--- a/src/limelever/agent/replies.py
+++ b/src/limelever/agent/replies.py
@@ -12,8 +12,8 @@
 from limelever.common.errors import Failure
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
 from limelever.protocol.calls_pb2 import AgentLoad, CallStart
-from limelever.quarantine.crash_history import Suspected
-from limelever.quarantine.fingerprint import digest_text
+from limelever.quarantine.crash_history import SuspectRequest
+from limelever.quarantine.fingerprint import format_digest
 
 _MICROSECONDS = 1_000_000
 _MICROSECONDS_PER_MILLISECOND = 1000
@@ -80,11 +80,11 @@
         return [*self._log.success(events.CALL_RAN, call.start.request_id, fields)]
 
 
-def crash_log(crash: int, suspects: Sequence[Suspected], queued: int) -> LogEvent:
+def crash_log(crash: int, suspects: Sequence[SuspectRequest], queued: int) -> LogEvent:
     """Return the log line of the end of the back end's process under some requests."""
     fields: dict[str, object] = {
-        "crash": digest_text(crash),
-        "requests": [digest_text(each.fingerprint.request) for each in suspects],
+        "crash": format_digest(crash),
+        "requests": [format_digest(each.fingerprint.request) for each in suspects],
         "queued": queued,
     }
     return LogEvent(events.BACKEND_ENDED, fields)
--- a/src/limelever/proxy/quarantine.py
+++ b/src/limelever/proxy/quarantine.py
@@ -13,14 +13,14 @@
 from limelever.protocol.endpoints_pb2 import CrashNews
 from limelever.proxy import events
 from limelever.proxy.call_state import AttemptEnded, Call
-from limelever.quarantine.crash_history import Evidence, Suspected, Suspicion
+from limelever.quarantine.crash_history import CrashHistory, CrashRecord, SuspectRequest
 from limelever.quarantine.fingerprint import (
     Fingerprint,
-    digest_text,
+    format_digest,
     head_digest,
     request_digest,
 )
-from limelever.quarantine.policy import quarantine_time
+from limelever.quarantine.policy import quarantine_duration
 
 CRASHES_OF_ONE_CALL = 2
 """A request under which so many back ends have ended gets no second try within a call: the next
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, random_source: random.Random, outputs: list[Output]) -> None:
-        self._evidence = Evidence()
+        self._evidence = CrashHistory()
         self._random = random_source
         self._outputs = outputs
         self._released_at: dict[tuple[int, int], float] = {}
@@ -60,7 +60,7 @@
         A call that may go on though its request is convicted is the one trial of its time.
         """
         suspicion = self._suspicion(call)
-        if suspicion is None or not suspicion.convicted:
+        if suspicion is None or not suspicion.is_quarantined:
             return None
         request = suspicion.fingerprint.request
         if request in call.part.released_requests:
@@ -68,19 +68,22 @@
         left = self._release_of(suspicion) - now
         if left <= 0 and self._trials.setdefault(request, call.number) == call.number:
             return None
-        reason = f"back ends have ended under this request {suspicion.standing} times in a row"
-        retry_after = max(left, quarantine_time(suspicion.standing) / 2)
+        reason = (
+            f"back ends have ended under this request {suspicion.consecutive_crashes} times"
+            " in a row"
+        )
+        retry_after = max(left, quarantine_duration(suspicion.consecutive_crashes) / 2)
         return Failure(ErrorKind.QUARANTINED, reason, retry_after=retry_after)
 
     def may_try_again(self, call: Call) -> bool:
         """Return whether a call whose back end has ended may go to another one."""
         suspicion = self._suspicion(call)
-        return suspicion is None or suspicion.standing < CRASHES_OF_ONE_CALL
+        return suspicion is None or suspicion.consecutive_crashes < CRASHES_OF_ONE_CALL
 
     def known_depth(self, call: Call) -> int:
         """Return how often in a row back ends are known to have ended under a call's request."""
         suspicion = self._suspicion(call)
-        return 0 if suspicion is None else suspicion.standing
+        return 0 if suspicion is None else suspicion.consecutive_crashes
 
     def crashed(self, ended: AttemptEnded, now: float) -> bool:
         """Take the end of a back end under a call of this proxy's own.
@@ -90,11 +93,11 @@
         request = ended.call.request
         service = ended.call.part.service
         fingerprint = Fingerprint.of(service, request.method, request.target, request.body)
-        suspected = Suspected(fingerprint, ended.known_depth)
-        changed = self._evidence.crashed((suspected,), ended.crash, now)
+        suspected = SuspectRequest(fingerprint, ended.known_depth)
+        changed = self._evidence.add_crash((suspected,), ended.crash, now)
         if not changed:
             return False
-        self._outputs.append(CrashNewsFound(self._evidence.news(changed, now)))
+        self._outputs.append(CrashNewsFound(self._evidence.update_for(changed, now)))
         return self._log_changes(changed, {})
 
     def answered(self, call: Call, status: int, now: float) -> None:
@@ -107,9 +110,9 @@
         suspicion = self._suspicion(call)
         if suspicion is None:
             return
-        was_convicted, request = suspicion.convicted, suspicion.fingerprint.request
+        was_convicted, request = suspicion.is_quarantined, suspicion.fingerprint.request
         if self._evidence.clear(request):
-            self._outputs.append(CrashNewsFound(self._evidence.news((request,), now)))
+            self._outputs.append(CrashNewsFound(self._evidence.update_for((request,), now)))
             if was_convicted:
                 self._log_cleared(request)
 
@@ -126,11 +129,11 @@
         A relay that tells all it knows is told what it lacks: it may have just started.
         """
         if news.full:
-            missing = self._evidence.missing_in(news)
+            missing = self._evidence.missing_from(news)
             if missing:
-                self._outputs.append(CrashNewsFound(self._evidence.news(missing, now)))
+                self._outputs.append(CrashNewsFound(self._evidence.update_for(missing, now)))
         before = {each.request: self._is_convicted(each.request) for each in news.suspects}
-        changed = self._evidence.take(news, now)
+        changed = self._evidence.merge(news, now)
         return self._log_changes(changed, before)
 
     def expire(self, now: float) -> None:
@@ -139,7 +142,7 @@
         for key in [key for key in self._released_at if key[0] in over]:
             del self._released_at[key]
 
-    def _suspicion(self, call: Call) -> Suspicion | None:
+    def _suspicion(self, call: Call) -> CrashRecord | None:
         """Return what is known of a call's request; its body counts only for a known head."""
         if self.is_empty:
             return None
@@ -148,19 +151,20 @@
             call.head_digest = head_digest(call.part.service, request.method, request.target)
         if not self._evidence.has_head(call.head_digest):
             return None
-        return self._evidence.of(request_digest(call.head_digest, request.body))
+        return self._evidence.get(request_digest(call.head_digest, request.body))
 
     def _is_convicted(self, request: int) -> bool:
-        held = self._evidence.of(request)
-        return held is not None and held.convicted
+        held = self._evidence.get(request)
+        return held is not None and held.is_quarantined
 
-    def _release_of(self, suspicion: Suspicion) -> float:
+    def _release_of(self, suspicion: CrashRecord) -> float:
         """Return when this proxy may try a convicted request, drawn once for each number."""
-        key = (suspicion.fingerprint.request, suspicion.standing)
+        key = (suspicion.fingerprint.request, suspicion.consecutive_crashes)
         if key not in self._released_at:
             spread = 1.0 + self._random.random()
             self._released_at[key] = (
-                suspicion.crashed_at + quarantine_time(suspicion.standing) * spread
+                suspicion.last_crash_at
+                + quarantine_duration(suspicion.consecutive_crashes) * spread
             )
         return self._released_at[key]
 
@@ -168,24 +172,24 @@
         """Log what turned out convicted or cleared; return whether something is convicted."""
         convicted = False
         for request in changed:
-            held = self._evidence.of(request)
+            held = self._evidence.get(request)
             if held is None:
                 continue
-            if held.convicted:
+            if held.is_quarantined:
                 convicted = True
                 self._log_convicted(held)
             elif before.get(request):
                 self._log_cleared(request)
         return convicted
 
-    def _log_convicted(self, suspicion: Suspicion) -> None:
+    def _log_convicted(self, suspicion: CrashRecord) -> None:
         fields: dict[str, object] = {
-            "request": digest_text(suspicion.fingerprint.request),
-            "crashes": suspicion.standing,
-            "seconds": quarantine_time(suspicion.standing),
+            "request": format_digest(suspicion.fingerprint.request),
+            "crashes": suspicion.consecutive_crashes,
+            "seconds": quarantine_duration(suspicion.consecutive_crashes),
         }
         self._outputs.append(LogEvent(events.REQUEST_QUARANTINED, fields))
 
     def _log_cleared(self, request: int) -> None:
-        fields: dict[str, object] = {"request": digest_text(request)}
+        fields: dict[str, object] = {"request": format_digest(request)}
         self._outputs.append(LogEvent(events.REQUEST_CLEARED, fields))
--- a/src/limelever/quarantine/__init__.py
+++ b/src/limelever/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet knows of requests under which back ends have ended."""
+"""Tracks requests that crash back ends, to quarantine them throughout the fleet."""
--- a/src/limelever/quarantine/crash_history.py
+++ b/src/limelever/quarantine/crash_history.py
@@ -1,12 +1,12 @@
-"""Which requests ran as back ends ended, merged from what machines tell each other.
+"""Replicated record of the requests that were running when back ends crashed.
 
-For each request two sets grow: the crashes, and those of them that count no more since the request
-was answered. News may come in any order, twice, or by way of others: the union of the sets is the
-same everywhere. Age and number bound the table, the least suspect are forgotten first.
+For each request two grow-only sets are kept: its crashes, and those cleared by a later successful
+answer. Replicas merge by set union, so updates may arrive in any order, repeatedly or indirectly.
+The table is bounded by age and size; the requests with the fewest crashes are evicted first.
 
-A crash has a depth: one more than the proxy knew of when it sent the call. Back ends that end at
-one moment, of whatever cause, are no evidence against what ran at all of them; only a request that
-is sent again after a crash, and again after the next, is.
+A crash has a depth: one more than the consecutive crashes that the proxy knew of when it sent the
+call. Back ends that crash at the same time, for whatever cause, thus don't incriminate the requests
+that were running at all of them; only a request that is sent again after each crash gains depth.
 """
 
 from __future__ import annotations
@@ -18,193 +18,205 @@
 
 from limelever.protocol.endpoints_pb2 import CrashNews, Suspect
 from limelever.quarantine.fingerprint import Fingerprint
-from limelever.quarantine.policy import CONVICTING_CRASHES, kept_time
+from limelever.quarantine.policy import QUARANTINE_THRESHOLD, retention
 
-REQUESTS_LIMIT = 1024
-"""Requests remembered: 0.8 MB with two crashes each, 43 kB for a machine that begins to listen."""
+MAX_REQUESTS = 1024
+"""Requests remembered; bounds memory and the size of a full update."""
 
-CRASHES_LIMIT = 16
-"""Crashes remembered for each request: more neither convict nor prolong."""
+MAX_CRASHES = 16
+"""Crashes remembered for each request; more don't prolong a quarantine."""
 
-_KEPT_OF_LIMIT = 0.9
-_MILLISECONDS = 1000
+_EVICTION_TARGET = 0.9
+"""Fraction of ``MAX_REQUESTS`` that is left after an eviction."""
 
+_MS_PER_SECOND = 1000
 
-class Suspected(Struct, frozen=True):
-    """A request that ran as a back end ended; its proxy knew of ``known_depth`` ends in a row."""
+
+class SuspectRequest(Struct, frozen=True):
+    """A request that was running when a back end crashed.
+
+    ``known_depth`` is the number of consecutive crashes that its proxy knew of when sending it.
+    """
 
     fingerprint: Fingerprint
     known_depth: int = 0
 
 
-class Suspicion(Struct):
-    """What speaks against one request; ``crashed_at`` is its newest crash (seconds, monotonic).
+class CrashRecord(Struct):
+    """The crashes of one request; ``last_crash_at`` is in seconds, monotonic.
 
-    ``crashes`` holds the depth of each by its number.
+    ``crashes`` holds the depth of each crash by its id.
     """
 
     fingerprint: Fingerprint
     crashes: dict[int, int]
     cleared: frozenset[int]
-    crashed_at: float
+    last_crash_at: float
 
     @property
-    def standing(self) -> int:
-        """Return how often in a row back ends have ended, as far as it counts.
+    def consecutive_crashes(self) -> int:
+        """Return the number of consecutive crashes that are not cleared.
 
-        A depth that rests on crashes which were cleared since goes no further than what is left.
+        A depth that includes cleared crashes is limited to the number of crashes left.
         """
         counting = self.crashes.keys() - self.cleared
-        deepest = max((self.crashes[each] for each in counting), default=0)
-        return min(deepest, len(counting))
+        max_depth = max((self.crashes[crash] for crash in counting), default=0)
+        return min(max_depth, len(counting))
 
     @property
-    def convicted(self) -> bool:
-        """Return whether there are enough of them."""
-        return self.standing >= CONVICTING_CRASHES
+    def is_quarantined(self) -> bool:
+        """Return whether the consecutive crashes reach the quarantine threshold."""
+        return self.consecutive_crashes >= QUARANTINE_THRESHOLD
 
 
-class Evidence:
-    """Suspicions by request; times are seconds of the monotonic clock."""
+class CrashHistory:
+    """Crash records by request; times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._by_request: dict[int, Suspicion] = {}
+        self._by_request: dict[int, CrashRecord] = {}
         self._heads: Counter[int] = Counter()
 
     def __len__(self) -> int:
         return len(self._by_request)
 
     def has_head(self, head: int) -> bool:
-        """Return whether a request with these first parts is known."""
+        """Return whether a request with this head digest is recorded."""
         return head in self._heads
 
-    def of(self, request: int) -> Suspicion | None:
-        """Return what speaks against a request, if it is known."""
+    def get(self, request: int) -> CrashRecord | None:
+        """Return the record of a request, or ``None``."""
         return self._by_request.get(request)
 
-    def all(self) -> tuple[Suspicion, ...]:
-        """Return all that is known."""
+    def all(self) -> tuple[CrashRecord, ...]:
+        """Return all records."""
         return tuple(self._by_request.values())
 
-    def crashed(self, suspects: Iterable[Suspected], crash: int, now: float) -> list[int]:
-        """Take the end of a back end under some requests; return those for which it is news."""
-        found = (
-            Suspicion(each.fingerprint, {crash: each.known_depth + 1}, frozenset(), now)
+    def add_crash(self, suspects: Iterable[SuspectRequest], crash: int, now: float) -> list[int]:
+        """Record a crash for the requests that were running; return those that changed."""
+        records = (
+            CrashRecord(each.fingerprint, {crash: each.known_depth + 1}, frozenset(), now)
             for each in suspects
         )
-        changed = [each.fingerprint.request for each in found if self._merge(each, now)]
-        self._bound()
+        changed = [
+            record.fingerprint.request for record in records if self._merge_record(record, now)
+        ]
+        self._evict()
         return changed
 
     def clear(self, request: int) -> bool:
-        """Let none of a request's crashes count any more; return whether one did."""
-        held = self._by_request.get(request)
-        if held is None or not held.standing:
+        """Clear all crashes of a request; return whether any counted."""
+        record = self._by_request.get(request)
+        if record is None or not record.consecutive_crashes:
             return False
-        held.cleared |= held.crashes.keys()
+        record.cleared |= record.crashes.keys()
         return True
 
-    def take(self, news: CrashNews, now: float) -> list[int]:
-        """Merge what another machine knows; return the requests of which something was new."""
-        changed = [each.request for each in news.suspects if self._merge(_read(each, now), now)]
-        self._bound()
+    def merge(self, news: CrashNews, now: float) -> list[int]:
+        """Merge an update from another replica; return the requests that changed."""
+        changed = [
+            each.request for each in news.suspects if self._merge_record(_decode(each, now), now)
+        ]
+        self._evict()
         return changed
 
-    def news(self, requests: Iterable[int], now: float, full: bool = False) -> CrashNews:
-        """Return what is known of some requests, as it is told to others."""
-        known = (self._by_request.get(request) for request in requests)
-        return CrashNews(full=full, suspects=[_written(each, now) for each in known if each])
+    def update_for(self, requests: Iterable[int], now: float, full: bool = False) -> CrashNews:
+        """Return an update with the records of some requests."""
+        records = (self._by_request.get(request) for request in requests)
+        return CrashNews(full=full, suspects=[_encode(record, now) for record in records if record])
 
-    def all_news(self, now: float) -> CrashNews:
-        """Return all that is known, for a machine that begins to listen."""
+    def full_update(self, now: float) -> CrashNews:
+        """Return an update with all records, for a new subscriber."""
         self.expire(now)
-        return self.news(self._by_request, now, full=True)
+        return self.update_for(self._by_request, now, full=True)
 
-    def missing_in(self, news: CrashNews) -> list[int]:
-        """Return the requests of which another machine's full news lack something."""
-        told = {each.request: each for each in news.suspects}
+    def missing_from(self, news: CrashNews) -> list[int]:
+        """Return the requests whose records are missing or incomplete in a full update."""
+        received = {each.request: each for each in news.suspects}
         return [
             request
-            for request, held in self._by_request.items()
-            if request not in told
-            or not held.crashes.keys() <= set(told[request].crashes)
-            or not held.cleared <= set(told[request].cleared)
+            for request, record in self._by_request.items()
+            if request not in received
+            or not record.crashes.keys() <= set(received[request].crashes)
+            or not record.cleared <= set(received[request].cleared)
         ]
 
     def expire(self, now: float) -> list[int]:
-        """Forget what is too old; return its requests."""
-        over = [
+        """Remove the records whose retention is over; return their requests."""
+        expired = [
             request
-            for request, held in self._by_request.items()
-            if now >= held.crashed_at + kept_time(held.standing)
+            for request, record in self._by_request.items()
+            if now >= record.last_crash_at + retention(record.consecutive_crashes)
         ]
-        for request in over:
-            self._forget(request)
-        return over
+        for request in expired:
+            self._remove(request)
+        return expired
 
-    def _merge(self, other: Suspicion, now: float) -> bool:
-        """Unite what is known of a request; return whether that brought something new."""
-        if now >= other.crashed_at + kept_time(other.standing):
+    def _merge_record(self, other: CrashRecord, now: float) -> bool:
+        """Merge a record into that of the same request; return whether it changed."""
+        if now >= other.last_crash_at + retention(other.consecutive_crashes):
             return False
         request = other.fingerprint.request
-        held = self._by_request.get(request)
-        if held is None:
+        record = self._by_request.get(request)
+        if record is None:
             self._by_request[request] = other
             self._heads[other.fingerprint.head] += 1
             return True
-        crashes = _bounded(held.crashes, other.crashes)
-        cleared = held.cleared | (other.cleared & crashes.keys())
-        if crashes == held.crashes and cleared == held.cleared:
+        crashes = _merge_crashes(record.crashes, other.crashes)
+        cleared = record.cleared | (other.cleared & crashes.keys())
+        if crashes == record.crashes and cleared == record.cleared:
             return False
-        if crashes != held.crashes:
-            held.crashed_at = max(held.crashed_at, other.crashed_at)
-        held.crashes, held.cleared = crashes, cleared
+        if crashes != record.crashes:
+            record.last_crash_at = max(record.last_crash_at, other.last_crash_at)
+        record.crashes, record.cleared = crashes, cleared
         return True
 
-    def _bound(self) -> None:
-        if len(self._by_request) <= REQUESTS_LIMIT:
+    def _evict(self) -> None:
+        if len(self._by_request) <= MAX_REQUESTS:
             return
-        held = self._by_request
-        least_first = sorted(held, key=lambda each: (held[each].standing, held[each].crashed_at))
-        for request in least_first[: len(held) - int(REQUESTS_LIMIT * _KEPT_OF_LIMIT)]:
-            self._forget(request)
+        records = self._by_request
+        eviction_order = sorted(
+            records,
+            key=lambda each: (records[each].consecutive_crashes, records[each].last_crash_at),
+        )
+        for request in eviction_order[: len(records) - int(MAX_REQUESTS * _EVICTION_TARGET)]:
+            self._remove(request)
 
-    def _forget(self, request: int) -> None:
+    def _remove(self, request: int) -> None:
         head = self._by_request.pop(request).fingerprint.head
         self._heads[head] -= 1
         if not self._heads[head]:
             del self._heads[head]
 
 
-def _bounded(held: dict[int, int], more: dict[int, int]) -> dict[int, int]:
-    """Return the union up to the limit, of two depths of one crash the greater.
+def _merge_crashes(crashes: dict[int, int], others: dict[int, int]) -> dict[int, int]:
+    """Return the union of crashes, at most ``MAX_CRASHES``, with the greater depth of each.
 
-    What is held is never given up for others once a machine has acted on it.
+    Known crashes are never dropped in favour of others, as they may have been acted on.
     """
-    united = {crash: max(depth, more.get(crash, 0)) for crash, depth in held.items()}
-    for crash in sorted(more.keys() - held.keys()):
-        if len(united) < CRASHES_LIMIT:
-            united[crash] = more[crash]
-    return united
+    merged = {crash: max(depth, others.get(crash, 0)) for crash, depth in crashes.items()}
+    for crash in sorted(others.keys() - crashes.keys()):
+        if len(merged) < MAX_CRASHES:
+            merged[crash] = others[crash]
+    return merged
 
 
-def _read(suspect: Suspect, now: float) -> Suspicion:
-    crashes = _bounded({}, dict(zip(suspect.crashes, suspect.depths, strict=False)))
-    return Suspicion(
+def _decode(suspect: Suspect, now: float) -> CrashRecord:
+    crashes = _merge_crashes({}, dict(zip(suspect.crashes, suspect.depths, strict=False)))
+    return CrashRecord(
         Fingerprint(suspect.request, suspect.head),
         crashes,
         frozenset(suspect.cleared) & crashes.keys(),
-        now - suspect.age_ms / _MILLISECONDS,
+        now - suspect.age_ms / _MS_PER_SECOND,
     )
 
 
-def _written(suspicion: Suspicion, now: float) -> Suspect:
-    crashes = sorted(suspicion.crashes)
+def _encode(record: CrashRecord, now: float) -> Suspect:
+    crashes = sorted(record.crashes)
     return Suspect(
-        request=suspicion.fingerprint.request,
-        head=suspicion.fingerprint.head,
+        request=record.fingerprint.request,
+        head=record.fingerprint.head,
         crashes=crashes,
-        depths=[suspicion.crashes[crash] for crash in crashes],
-        cleared=sorted(suspicion.cleared),
-        age_ms=max(0, int((now - suspicion.crashed_at) * _MILLISECONDS)),
+        depths=[record.crashes[crash] for crash in crashes],
+        cleared=sorted(record.cleared),
+        age_ms=max(0, int((now - record.last_crash_at) * _MS_PER_SECOND)),
     )
--- a/src/limelever/quarantine/fingerprint.py
+++ b/src/limelever/quarantine/fingerprint.py
@@ -1,8 +1,8 @@
-"""Digests by which a request is known again, under another id and at another machine.
+"""Digests that identify repeated requests, whatever their request id and wherever they arrive.
 
-They stand for the work that a back end is given: service, method, target and body. Host and caller
-are left out: back ends aren't told the one, and the same request may come from any of the others.
-Nothing of a request can be read back from them.
+They cover what a back end receives: service, method, target and body. The host is not passed to
+back ends, and callers are left out as any of them may send the same request. Digests are one-way,
+so that they reveal nothing of a request.
 """
 
 from __future__ import annotations
@@ -15,10 +15,9 @@
 
 
 class Fingerprint(Struct, frozen=True):
-    """``request`` stands for the whole request, ``head`` for all of it but the body.
+    """``request`` is the digest of the whole request, ``head`` that of all but the body.
 
-    A digest of the body costs some 0.1 ms for 100 kB, one of the head 1 us: only a request whose
-    head is known needs the other.
+    The head digest is cheap and serves as a filter: the body is hashed only if the head matches.
     """
 
     request: int
@@ -38,11 +37,11 @@
 
 
 def request_digest(head: int, body: bytes) -> int:
-    """Return the digest of a whole request from that of its head."""
+    """Return the digest of a whole request, given its head digest."""
     key = head.to_bytes(_DIGEST_BYTES, "big")
     return int.from_bytes(blake2b(body, digest_size=_DIGEST_BYTES, key=key).digest(), "big")
 
 
-def digest_text(digest: int) -> str:
-    """Return a digest as logs and operators write it."""
+def format_digest(digest: int) -> str:
+    """Return a digest in hexadecimal, as in logs and operator commands."""
     return f"{digest:016x}"
--- a/src/limelever/quarantine/policy.py
+++ b/src/limelever/quarantine/policy.py
@@ -1,35 +1,35 @@
-"""When a request is convicted, and for how long it is kept from back ends."""
+"""When a request is quarantined, and for how long."""
 
 from __future__ import annotations
 
-CONVICTING_CRASHES = 3
-"""Ends of back ends under one request, each but the first of a call that was sent after the one
-before, none of them cleared by an answer. A single end has up to as many suspects as the back end
-had slots; that a sound request shares three in a row is what remains of the error."""
+QUARANTINE_THRESHOLD = 3
+"""Consecutive crashes after which a request is quarantined. Each must hit a call that was sent
+after the crash before it, and a successful answer clears them all. A single crash implicates every
+request that was running at the back end; three in a row rarely share a harmless one."""
 
-FIRST_QUARANTINE = 120.0
-"""Seconds after the crash that convicts. The next attempt costs an instance if the request is
-deadly, and is what a request convicted by mistake waits for: a choice between the two."""
+INITIAL_QUARANTINE = 120.0
+"""Seconds after the last crash. The next attempt may crash another back end, but a harmless request
+that was quarantined by mistake must wait for it."""
 
-LONGEST_QUARANTINE = 3600.0
-"""Seconds; each further crash doubles the time up to here."""
+MAX_QUARANTINE = 3600.0
+"""Seconds; each further crash doubles the duration up to this limit."""
 
-SUSPICION_KEPT = 600.0
-"""Seconds after its last crash for which a request is suspected: it may come again slowly."""
+RECORD_RETENTION = 600.0
+"""Seconds after the last crash for which a request below the threshold is remembered."""
 
-_PROBATION_FACTOR = 4.0
-"""Times its quarantine for which a convicted request is remembered, so that one more crash convicts
-it again, for longer."""
+_QUARANTINED_RETENTION_FACTOR = 4.0
+"""Retention of a quarantined request as a multiple of its quarantine, so that one more crash
+quarantines it again, for longer."""
 
 
-def quarantine_time(crashes: int) -> float:
-    """Return the least seconds for which a request with so many crashes is kept away."""
-    doublings = min(max(0, crashes - CONVICTING_CRASHES), 30)
-    return min(LONGEST_QUARANTINE, FIRST_QUARANTINE * 2.0**doublings)
+def quarantine_duration(crashes: int) -> float:
+    """Return the shortest quarantine in seconds after so many consecutive crashes."""
+    doublings = min(max(0, crashes - QUARANTINE_THRESHOLD), 30)
+    return min(MAX_QUARANTINE, INITIAL_QUARANTINE * 2.0**doublings)
 
 
-def kept_time(crashes: int) -> float:
-    """Return the seconds after the last crash for which so many are remembered."""
-    if crashes < CONVICTING_CRASHES:
-        return SUSPICION_KEPT
-    return max(SUSPICION_KEPT, _PROBATION_FACTOR * quarantine_time(crashes))
+def retention(crashes: int) -> float:
+    """Return the seconds after the last crash for which so many crashes are remembered."""
+    if crashes < QUARANTINE_THRESHOLD:
+        return RECORD_RETENTION
+    return max(RECORD_RETENTION, _QUARANTINED_RETENTION_FACTOR * quarantine_duration(crashes))
--- a/src/limelever/relay/crash_board.py
+++ b/src/limelever/relay/crash_board.py
@@ -10,8 +10,8 @@
 from limelever.common.sansio import ConnectionId, LogEvent, Output, SendMessage
 from limelever.protocol.endpoints_pb2 import CrashNews
 from limelever.publisher.batching import BatchTimer
-from limelever.quarantine.crash_history import Evidence
-from limelever.quarantine.fingerprint import digest_text
+from limelever.quarantine.crash_history import CrashHistory
+from limelever.quarantine.fingerprint import format_digest
 from limelever.relay import events
 
 BATCH_SECONDS = 0.05
@@ -22,7 +22,7 @@
     """What one relay knows; times in seconds."""
 
     def __init__(self) -> None:
-        self._evidence = Evidence()
+        self._evidence = CrashHistory()
         self._listeners: dict[ConnectionId, None] = {}
         self._changed: dict[int, None] = {}
         self._batch = BatchTimer(BATCH_SECONDS)
@@ -30,7 +30,7 @@
     def join(self, listener: ConnectionId, now: float) -> list[Output]:
         """Tell a proxy or another relay all that is known, and news from now on."""
         self._listeners[listener] = None
-        return [SendMessage(listener, self._evidence.all_news(now))]
+        return [SendMessage(listener, self._evidence.full_update(now))]
 
     def leave(self, listener: ConnectionId) -> None:
         """Forget a listener whose link is gone."""
@@ -38,7 +38,7 @@
 
     def heard(self, news: CrashNews, now: float) -> None:
         """Take what an agent, a proxy or another relay tells."""
-        self._changed.update(dict.fromkeys(self._evidence.take(news, now)))
+        self._changed.update(dict.fromkeys(self._evidence.merge(news, now)))
         if self._changed:
             self._batch.note(now)
 
@@ -55,18 +55,18 @@
         changed, self._changed = self._changed, {}
         self._batch.taken()
         self._batch.sent(now)
-        news = self._evidence.news(changed, now)
+        news = self._evidence.update_for(changed, now)
         told: list[Output] = [SendMessage(each, news) for each in self._listeners]
         return [*told, *self._logs(changed)]
 
     def _logs(self, requests: dict[int, None]) -> list[Output]:
         logs: list[Output] = []
         for request in requests:
-            held = self._evidence.of(request)
-            if held is not None and held.convicted:
+            held = self._evidence.get(request)
+            if held is not None and held.is_quarantined:
                 fields: dict[str, object] = {
-                    "request": digest_text(request),
-                    "crashes": held.standing,
+                    "request": format_digest(request),
+                    "crashes": held.consecutive_crashes,
                 }
                 logs.append(LogEvent(events.REQUEST_CONVICTED, fields))
         return logs
