--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -28,9 +28,17 @@
 from limelever.proxy.endpoints import EndpointEntry, EndpointKey
 from limelever.proxy.version_gate import VersionGate
 from limelever.relay.tally_board import TallyBoard
-from limelever.rollout.canary_analysis import Finding, Verdict, judge
-from limelever.rollout.progression import WHOLE, End, GoOn, Limits, Running, Wait, decide
-from limelever.rollout.tally import Tally, answers_in, joined
+from limelever.rollout.canary_analysis import Finding, Verdict, analyze
+from limelever.rollout.progression import (
+    ALL_PERMILLE,
+    Advance,
+    ExposureLimit,
+    Finish,
+    RolloutProgress,
+    Wait,
+    decide,
+)
+from limelever.rollout.tally import Tally, answer_count, merge_tallies
 from limelever.source.state import StateMachine
 
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=60)
@@ -39,7 +47,7 @@
     "completed": ROLLOUT_STATE_COMPLETED,
     "rolled back": ROLLOUT_STATE_ROLLED_BACK,
 }
-LIMITS = Limits(0.1)
+LIMIT = ExposureLimit(0.1)
 GOOD = Verdict(Finding.GOOD, "good")
 LOOK = 0.1
 SEEDS = 50
@@ -81,13 +89,13 @@
         if version == "v2" and self.fault and self._random.random() < self._bad_part:
             failed = failed or self.fault == "fails"
             ran *= self._slower if self.fault == "slow" else 1.0
-        tally.ended(route, ran, failed)
+        tally.add_call(route, ran, failed)
 
 
 def finding(seed: int, fault: str, calls: int) -> Finding:
     drawn = DrawnVersion(seed, fault)
-    baseline = joined(drawn.tally("v1", 4000, 40))
-    return judge(joined(drawn.tally("v2", calls, 2)), baseline).finding
+    baseline = merge_tallies(drawn.tally("v1", 4000, 40))
+    return analyze(merge_tallies(drawn.tally("v2", calls, 2)), baseline).finding
 
 
 @given("versions drawn at random, each compared with a baseline of the same service")
@@ -113,18 +121,18 @@
 
 
 def sums(version, **by_route):
-    """Return joined sums; each route has a count of sound and one of failed calls."""
+    """Return merged sums; each route has a count of sound and one of failed calls."""
     tally = Tally("orders", version, version, 1)
     for route, (sound, failed) in by_route.items():
         for number in range(sound + failed):
-            tally.ended(route, 0.1, number >= sound)
-    return joined([tally.message()])
+            tally.add_call(route, 0.1, number >= sound)
+    return merge_tallies([tally.message()])
 
 
 @given("a version whose rare route fails 5 of 10 calls while others are served")
 def given_rare(context):
     target = sums("v2", common=(300, 1), rare=(10, 10))
-    context.verdict = judge(target, sums("v1", common=(9000, 30), rare=(600, 2)))
+    context.verdict = analyze(target, sums("v1", common=(9000, 30), rare=(600, 2)))
 
 
 @then("it is found bad, and the reason names the route")
@@ -135,7 +143,7 @@
 
 @given("a version and a baseline that both fail 2 of 10 calls")
 def given_both(context):
-    context.verdict = judge(sums("v2", one=(160, 40)), sums("v1", one=(1600, 400)))
+    context.verdict = analyze(sums("v2", one=(160, 40)), sums("v1", one=(1600, 400)))
 
 
 @then("the version is not found bad")
@@ -154,12 +162,12 @@
         for number, plan in enumerate(agents):
             tally = Tally("orders", str(number), "v1", 1)
             for call in plan:
-                tally.ended(*call)
+                tally.add_call(*call)
             tallies.append(tally.message())
         shuffled = list(tallies)
         order.shuffle(shuffled)
-        assert joined(tallies) == joined(shuffled)
-        assert sum(map(answers_in, tallies)) == sum(map(len, agents))
+        assert merge_tallies(tallies) == merge_tallies(shuffled)
+        assert sum(map(answer_count, tallies)) == sum(map(len, agents))
 
     check()
 
@@ -174,13 +182,13 @@
     permille, given, first = 0, 0.0, None
     for look in range(int(context.duration / LOOK) + 1):
         elapsed = look * LOOK
-        running = Running(permille, elapsed, context.duration, context.count, target_ready)
-        decision = decide(running, verdict_at(elapsed, permille), LIMITS)
-        given += permille / WHOLE * LOOK / context.duration
-        if isinstance(decision, GoOn):
+        running = RolloutProgress(permille, elapsed, context.duration, context.count, target_ready)
+        decision = decide(running, verdict_at(elapsed, permille), LIMIT)
+        given += permille / ALL_PERMILLE * LOOK / context.duration
+        if isinstance(decision, Advance):
             permille = decision.permille
             first = first if first is not None else permille
-        elif isinstance(decision, End):
+        elif isinstance(decision, Finish):
             return decision, first, given, elapsed
         else:
             assert isinstance(decision, Wait)
@@ -202,11 +210,11 @@
 @then("a version that proves bad only at the end was given less than a tenth of the calls")
 def then_exposed(context):
     def verdict(elapsed, step):
-        late = step == WHOLE and elapsed >= context.duration - 0.3
+        late = step == ALL_PERMILLE and elapsed >= context.duration - 0.3
         return Verdict(Finding.BAD, "late") if late else GOOD
 
     end, _, given, _ = played(context, verdict)
-    assert not end.completed and given < LIMITS.exposed_part, (end, given)
+    assert not end.completed and given < LIMIT.fraction, (end, given)
 
 
 @then("without a back end of the version it is rolled back before the deadline")
@@ -344,10 +352,10 @@
 @then("2 calls are told, and nothing more until another ends")
 def then_told(context):
     told = context.count.take_news(5.0)
-    assert (answers_in(told), told.version, told.rollout) == (2, "v2", 7), told
+    assert (answer_count(told), told.version, told.rollout) == (2, "v2", 7), told
     assert context.count.take_news(6.0) is None
     context.count.ended("one", 0.5, False, 7.0)
-    assert answers_in(context.count.take_news(7.0)) == 3
+    assert answer_count(context.count.take_news(7.0)) == 3
 
 
 @when("the rollout is over")
@@ -373,17 +381,17 @@
     for calls in (5, 3, 8):
         tally = Tally("orders", "one", "v2", 7)
         for _ in range(calls):
-            tally.ended("one", 0.1, False)
+            tally.add_call("one", 0.1, False)
         context.told += context.board.from_agent(tally.message())
 
 
 @then("the other relay was told of 5 and 8 calls")
 def then_passed_on(context):
-    assert [answers_in(each.message) for each in context.told] == [5, 8]
+    assert [answer_count(each.message) for each in context.told] == [5, 8]
     assert {each.connection for each in context.told} == {9}
 
 
 @then("the board holds 8 calls for the rollout and none for another")
 def then_held(context):
-    assert [answers_in(each) for each in context.board.of("orders", 7)] == [8]
+    assert [answer_count(each) for each in context.board.of("orders", 7)] == [8]
     assert not context.board.of("orders", 8)
--- a/src/limelever/agent/version_tally.py
+++ b/src/limelever/agent/version_tally.py
@@ -43,7 +43,7 @@
         if self._tally is None or now - ran < self._warm_at:
             return
         self._tally.version = self._version
-        self._tally.ended(route, ran, failed)
+        self._tally.add_call(route, ran, failed)
         self._changed = True
 
     def take_news(self, now: float) -> VersionTally | None:
--- a/src/limelever/control/process.py
+++ b/src/limelever/control/process.py
@@ -21,7 +21,7 @@
 from limelever.relay import process as relay_process
 from limelever.relay.core import RelayCore
 from limelever.relay.interface import RelaysKnown
-from limelever.rollout.progression import Limits
+from limelever.rollout.progression import ExposureLimit
 from limelever.source import process as source_process
 from limelever.source.operator_desk import OperatorDesk
 from limelever.source.operator_door import RequestChecks
@@ -95,7 +95,7 @@
     door = ControlDoor(settings)
     neighbours = _Neighbours(settings)
     listener = shell.new_listener(Role.RELAY)
-    limits = Limits(exposed_part=settings.rollout.exposed_percent / PERCENT)
+    limits = ExposureLimit(fraction=settings.rollout.exposed_percent / PERCENT)
     driver = RolloutDriver(door.rollouts, lambda: door.relay, limits)
     done = trio.Event()
 
--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -16,9 +16,17 @@
 from limelever.protocol.config_pb2 import ROLLOUT_STATE_RUNNING, Rollout
 from limelever.protocol.endpoints_pb2 import ENDPOINT_STATE_READY
 from limelever.relay.core import RelayCore
-from limelever.rollout.canary_analysis import Verdict, judge
-from limelever.rollout.progression import Decision, End, GoOn, Limits, Running, Wait, decide
-from limelever.rollout.tally import joined
+from limelever.rollout.canary_analysis import Verdict, analyze
+from limelever.rollout.progression import (
+    Advance,
+    Decision,
+    ExposureLimit,
+    Finish,
+    RolloutProgress,
+    Wait,
+    decide,
+)
+from limelever.rollout.tally import merge_tallies
 from limelever.transport.log import write_event
 
 LOOK_SECONDS = 0.1
@@ -40,10 +48,10 @@
 
 
 class RolloutDriver:
-    """Carries out what ``steps`` decides; times in seconds."""
+    """Carries out what ``progression`` decides; times in seconds."""
 
     def __init__(
-        self, rollouts: RolloutDesk, relay: Callable[[], RelayCore | None], limits: Limits
+        self, rollouts: RolloutDesk, relay: Callable[[], RelayCore | None], limits: ExposureLimit
     ) -> None:
         self._rollouts = rollouts
         self._relay = relay
@@ -62,9 +70,9 @@
 
     async def _look(self, relay: RelayCore, rollout: Rollout) -> None:
         tallies = relay.endpoints.tallies.of(rollout.service, rollout.ordered_at_ms)
-        ours = joined(tally for tally in tallies if tally.version == rollout.target)
-        theirs = joined(tally for tally in tallies if tally.version != rollout.target)
-        verdict = judge(ours, theirs)
+        ours = merge_tallies(tally for tally in tallies if tally.version == rollout.target)
+        theirs = merge_tallies(tally for tally in tallies if tally.version != rollout.target)
+        verdict = analyze(ours, theirs)
         running = self._running(relay, rollout)
         decision = decide(running, verdict, self._limits)
         if isinstance(decision, Wait):
@@ -96,11 +104,11 @@
         }
         write_event(events.ROLLOUT_MOVED, told)
 
-    def _running(self, relay: RelayCore, rollout: Rollout) -> Running:
+    def _running(self, relay: RelayCore, rollout: Rollout) -> RolloutProgress:
         endpoints = relay.endpoints.table.of_service(rollout.service)
         ready = [each.version for each in endpoints if each.state == ENDPOINT_STATE_READY]
         target_ready = ready.count(rollout.target)
-        return Running(
+        return RolloutProgress(
             permille=rollout.permille,
             elapsed=self._elapsed(rollout),
             duration=rollout.duration_ms / _MILLISECONDS,
@@ -121,13 +129,13 @@
 def _after(held: Rollout, decision: Decision) -> Rollout:
     """Return a rollout after a step or its end."""
     match decision:
-        case GoOn(permille):
+        case Advance(permille):
             moved = Rollout()
             moved.CopyFrom(held)
             moved.permille = max(held.permille, permille)
             return moved
-        case End(True, reason):
+        case Finish(True, reason):
             return completed(held, reason)
-        case End(False, reason):
+        case Finish(False, reason):
             return rolled_back(held, reason)
     return held
--- a/src/limelever/proxy/version_gate.py
+++ b/src/limelever/proxy/version_gate.py
@@ -20,7 +20,7 @@
 )
 from limelever.protocol.endpoint_hash import endpoint_hash
 from limelever.proxy.endpoints import EndpointEntry
-from limelever.rollout.progression import WHOLE
+from limelever.rollout.progression import ALL_PERMILLE
 
 Entries = Sequence[EndpointEntry]
 
@@ -57,7 +57,7 @@
         pools = self._pools.get(service)
         if pools is None or pools.usable is not usable:
             pools = self._pools[service] = _pools(rollout, usable)
-        if pools.canary and self._random.random() * WHOLE < rollout.permille:
+        if pools.canary and self._random.random() * ALL_PERMILLE < rollout.permille:
             return pools.canary
         return pools.main
 
@@ -69,9 +69,9 @@
         return _Pools(usable, target, ())
     if rollout.state != ROLLOUT_STATE_RUNNING or not rollout.permille:
         return _Pools(usable, former, ())
-    if rollout.permille >= WHOLE:
+    if rollout.permille >= ALL_PERMILLE:
         return _Pools(usable, target or former, ())
-    count = max(1, math.ceil(len(former) * rollout.permille / WHOLE))
+    count = max(1, math.ceil(len(former) * rollout.permille / ALL_PERMILLE))
     return _Pools(usable, former, sorted(target, key=_rank)[:count])
 
 
--- a/src/limelever/relay/tally_board.py
+++ b/src/limelever/relay/tally_board.py
@@ -11,7 +11,7 @@
 from limelever.common.sansio import ConnectionId, Output, SendMessage
 from limelever.protocol.endpoints_pb2 import VersionTally
 from limelever.relay.endpoint_entry import EndpointName
-from limelever.rollout.tally import answers_in
+from limelever.rollout.tally import answer_count
 
 LARGEST_BOARD = 4096
 """Back ends whose sums are held: those of the services whose rollouts run, and of some before."""
@@ -60,4 +60,4 @@
 
 
 def _age(tally: VersionTally) -> tuple[int, int]:
-    return tally.rollout, answers_in(tally)
+    return tally.rollout, answer_count(tally)
--- a/src/limelever/rollout/__init__.py
+++ b/src/limelever/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rollouts: moving a service's calls to the back ends of another version, judged by the fleet."""
+"""Rollouts: shifting a service's calls to another version, with automatic canary analysis."""
--- a/src/limelever/rollout/canary_analysis.py
+++ b/src/limelever/rollout/canary_analysis.py
@@ -1,14 +1,11 @@
-"""Judges a version by the calls that its back ends and those of the baseline ended.
+"""Canary analysis: compares the answers of a version with those of the baseline.
 
-A version may fail a part of its calls or answer them several times more slowly, at once or later,
-on all routes or on one. So each route is looked at by itself, and all of them together. An answer
-is bad if it is a failure or takes longer than all but one in a hundred of the baseline's: cold or
-slow machines and nested calls weigh on both versions alike.
+Routes are compared one by one and all together, as a version may fail or be slow on a single route.
+An answer is bad if it is a failure or slower than the 99th percentile of the baseline.
 
-The test may be repeated at each look: a part of bad answers above ``p`` is believed where the
-Chernoff bound on as many by chance is below the rate of error. It needs few calls where the
-difference is gross. (Wald, Sequential Analysis, 1947; Johari et al., Always Valid Inference, 2015,
-on why a test of one look can't be repeated.)
+The test is repeated as calls end. A version counts as bad once the Chernoff bound on the chance of
+so many bad answers falls below the permitted error rate. (Wald, Sequential Analysis, 1947; Johari
+et al., Always Valid Inference, 2015.)
 """
 
 from __future__ import annotations
@@ -19,36 +16,34 @@
 
 from msgspec import Struct
 
-from limelever.rollout.tally import RouteSums, slow_from
+from limelever.rollout.tally import RouteSums, first_bucket_above
 
-SLOW_PART = 0.99
-"""Part of the baseline's times that count as usual."""
+SLOW_QUANTILE = 0.99
+"""Quantile of the baseline's durations above which an answer is slow."""
 
-TOLERATED_PART = 0.04
-"""Bad answers beyond the baseline's own part that are let pass: of instances whose speeds differ by
-a factor of two and a half, the slowest have some 3 in 100 beyond the mean's 99th."""
+TOLERATED_BAD_FRACTION = 0.04
+"""Fraction of bad answers tolerated beyond the baseline's; allows for differences in speed between
+instances."""
 
-LEAST_BAD = 4
-"""Bad answers before anything is concluded: two or three may share one cause."""
+MIN_BAD_ANSWERS = 4
+"""Bad answers required for any conclusion, as two or three may have a common cause."""
 
-LEAST_BASELINE = 30
-"""Calls of a route at the baseline before its times are compared."""
+MIN_BASELINE_ANSWERS = 30
+"""Answers of a route at the baseline required to compare durations."""
 
-CONVICTED = math.log(1e6)
-"""Certainty at which a version is bad: some hundred looks, at ten routes, and one wrong verdict in
-a thousand rollouts."""
+BAD_THRESHOLD = math.log(1e6)
+"""Negative log probability from which a version is bad; allows for repeated tests of many
+routes."""
 
-SUSPECTED = math.log(100.0)
-"""Certainty at which a version is not moved on at its deadline: a bad one costs more there than a
-good one that is ordered again."""
+SUSPECT_THRESHOLD = math.log(100.0)
+"""Negative log probability from which a version is suspect and not promoted at its deadline."""
 
-LEAST_ANSWERS = 60
-"""Calls that a version must have ended before it is moved on; where three times as many are bad as
-are let pass, it is suspected from about as many on."""
+MIN_ANSWERS = 60
+"""Answers of a version required to promote it."""
 
 
 class Finding(Enum):
-    """What is known of a version."""
+    """The assessment of a version."""
 
     UNKNOWN = auto()
     """Too few calls have ended."""
@@ -59,7 +54,7 @@
 
 
 class Verdict(Struct, frozen=True):
-    """A finding; ``reason`` tells the figures that led to it."""
+    """A finding; ``reason`` holds the counts behind it."""
 
     finding: Finding
     reason: str
@@ -70,51 +65,53 @@
     bad: int = 0
 
 
-def judge(target: Mapping[str, RouteSums], baseline: Mapping[str, RouteSums]) -> Verdict:
+def analyze(target: Mapping[str, RouteSums], baseline: Mapping[str, RouteSums]) -> Verdict:
     """Compare the sums of a version with those of the baseline, by route."""
-    ours, theirs = _Counts(), _Counts()
-    worst, reason = 0.0, "no route has more bad answers than the baseline's"
+    target_total, baseline_total = _Counts(), _Counts()
+    highest, reason = 0.0, "no route has more bad answers than the baseline's"
     for route, sums in target.items():
-        usual = baseline.get(route, RouteSums())
-        counts, expected = _counts(sums, usual)
-        _add(ours, counts)
-        _add(theirs, expected)
-        certainty = _certainty(counts, expected)
-        if certainty > worst:
-            worst, reason = certainty, _told(f"route {route}", counts, expected)
-    certainty = _certainty(ours, theirs)
-    if certainty > worst:
-        worst, reason = certainty, _told("all routes", ours, theirs)
-    if worst >= CONVICTED:
+        baseline_sums = baseline.get(route, RouteSums())
+        counts, baseline_counts = _counts(sums, baseline_sums)
+        _add(target_total, counts)
+        _add(baseline_total, baseline_counts)
+        score = _score(counts, baseline_counts)
+        if score > highest:
+            highest, reason = score, _summary(f"route {route}", counts, baseline_counts)
+    score = _score(target_total, baseline_total)
+    if score > highest:
+        highest, reason = score, _summary("all routes", target_total, baseline_total)
+    if highest >= BAD_THRESHOLD:
         return Verdict(Finding.BAD, reason)
-    if worst >= SUSPECTED:
+    if highest >= SUSPECT_THRESHOLD:
         return Verdict(Finding.SUSPECT, reason)
-    if ours.answers < LEAST_ANSWERS:
-        return Verdict(Finding.UNKNOWN, f"{ours.answers} of {LEAST_ANSWERS} calls have ended")
-    return Verdict(Finding.GOOD, _told("all routes", ours, theirs))
-
-
-def _counts(sums: RouteSums, usual: RouteSums) -> tuple[_Counts, _Counts]:
-    """Return the calls and bad ones of a route, at the version and at the baseline."""
-    bad, expected = sums.failures, usual.failures
-    if usual.answers >= LEAST_BASELINE:
-        slow = slow_from(usual.times, SLOW_PART)
-        bad += sum(sums.times[slow:])
-        expected += sum(usual.times[slow:])
-    return _Counts(sums.answers, bad), _Counts(usual.answers, expected)
-
-
-def _certainty(counts: _Counts, expected: _Counts) -> float:
-    """Return minus the logarithm of the chance of so many bad answers at a version that is good."""
-    if counts.bad < LEAST_BAD:
+    if target_total.answers < MIN_ANSWERS:
+        return Verdict(
+            Finding.UNKNOWN, f"{target_total.answers} of {MIN_ANSWERS} required calls have ended"
+        )
+    return Verdict(Finding.GOOD, _summary("all routes", target_total, baseline_total))
+
+
+def _counts(sums: RouteSums, baseline: RouteSums) -> tuple[_Counts, _Counts]:
+    """Return the answers and bad answers of a route, at the version and at the baseline."""
+    bad, baseline_bad = sums.failures, baseline.failures
+    if baseline.answers >= MIN_BASELINE_ANSWERS:
+        first_slow = first_bucket_above(baseline.times, SLOW_QUANTILE)
+        bad += sum(sums.times[first_slow:])
+        baseline_bad += sum(baseline.times[first_slow:])
+    return _Counts(sums.answers, bad), _Counts(baseline.answers, baseline_bad)
+
+
+def _score(counts: _Counts, baseline: _Counts) -> float:
+    """Return the negative log of the Chernoff bound on so many bad answers at a good version."""
+    if counts.bad < MIN_BAD_ANSWERS:
         return 0.0
-    tolerated = min(0.99, (expected.bad + 1) / (expected.answers + 2) + TOLERATED_PART)
-    part = counts.bad / counts.answers
-    if part <= tolerated:
+    tolerated = min(0.99, (baseline.bad + 1) / (baseline.answers + 2) + TOLERATED_BAD_FRACTION)
+    fraction = counts.bad / counts.answers
+    if fraction <= tolerated:
         return 0.0
-    divergence = part * math.log(part / tolerated)
-    if part < 1.0:
-        divergence += (1.0 - part) * math.log((1.0 - part) / (1.0 - tolerated))
+    divergence = fraction * math.log(fraction / tolerated)
+    if fraction < 1.0:
+        divergence += (1.0 - fraction) * math.log((1.0 - fraction) / (1.0 - tolerated))
     return counts.answers * divergence
 
 
@@ -123,6 +120,6 @@
     total.bad += counts.bad
 
 
-def _told(where: str, counts: _Counts, expected: _Counts) -> str:
-    usual = f"{expected.bad} of {expected.answers} at the baseline"
-    return f"{where}: {counts.bad} of {counts.answers} answers were bad, {usual}"
+def _summary(where: str, counts: _Counts, baseline: _Counts) -> str:
+    expected = f"{baseline.bad} of {baseline.answers} at the baseline"
+    return f"{where}: {counts.bad} of {counts.answers} answers were bad, {expected}"
--- a/src/limelever/rollout/progression.py
+++ b/src/limelever/rollout/progression.py
@@ -1,9 +1,8 @@
-"""When a rollout goes on and when it ends.
+"""Decides when a rollout advances, completes or rolls back.
 
-The whole of the calls is moved as late as the deadline allows: a version may turn bad only after
-some time, and what it got until then, together with what it gets while its badness is found, must
-stay within the part that may be exposed. Until then a few back ends of it have the usual load of
-one, since a version may be bad under load alone.
+A rollout first shifts a canary fraction of the calls, enough to give one back end of the version
+its usual load, since some defects only show under load. All calls are shifted as late as the
+deadline allows, so that a version that turns bad late stays within its exposure limit.
 """
 
 from __future__ import annotations
@@ -12,38 +11,40 @@
 
 from limelever.rollout.canary_analysis import Finding, Verdict
 
-WHOLE = 1000
-"""Calls in a thousand."""
+ALL_PERMILLE = 1000
+"""All calls, in permille."""
 
-LEAST_PERMILLE = 25
-"""Smallest part that a version gets at first: on a busy service some tens of calls a second."""
+MIN_CANARY_PERMILLE = 25
+"""Least fraction of the calls in the canary step, in permille."""
 
-CANARY_PART_OF_LIMIT = 0.5
-"""Of the part that may be exposed, what the first step may use; the rest is for the last one."""
+CANARY_EXPOSURE_FRACTION = 0.5
+"""Fraction of the exposure limit that the canary step may use; the rest is for the last step."""
 
-USED_PART_OF_LIMIT = 0.85
-"""The rest is for calls that are on their way, and for changes that arrive late."""
+USED_EXPOSURE_FRACTION = 0.85
+"""Fraction of the exposure limit that is planned for; the rest covers calls in flight and changes
+that take effect late."""
 
-LONGEST_LAST_STEP = 2.0
-"""Seconds that all calls go to the version before the former one may stop: what runs there ends."""
+MAX_LAST_STEP = 2.0
+"""Seconds for which all calls go to the version before the rollout ends, at most."""
 
-LEAST_LAST_STEP = 0.25
-"""Seconds for a change to be in force everywhere before the former version may stop."""
+MIN_LAST_STEP = 0.25
+"""Seconds for which all calls go to the version at least, so that the change takes effect
+everywhere before the baseline may stop."""
 
-TOLD_BEFORE_DEADLINE = 0.25
-"""Seconds before the deadline at which the end is told: a commit and a poll come after it."""
+DEADLINE_MARGIN = 0.25
+"""Seconds before the deadline at which the end is decided, to commit and publish it in time."""
 
 
-class Limits(Struct, frozen=True):
-    """``exposed_part`` of a service's calls may go to a version that turns out bad."""
+class ExposureLimit(Struct, frozen=True):
+    """``fraction`` of a service's calls may go to a version that turns out bad."""
 
-    exposed_part: float = 0.1
+    fraction: float = 0.1
 
 
-class Running(Struct, frozen=True):
-    """A rollout that runs; times in seconds, ``elapsed`` since the order.
+class RolloutProgress(Struct, frozen=True):
+    """A running rollout; times in seconds, ``elapsed`` since it was ordered.
 
-    ``baseline_ready`` and ``target_ready`` count the back ends that take work.
+    ``baseline_ready`` and ``target_ready`` count the back ends that are ready for calls.
     """
 
     permille: int
@@ -53,67 +54,67 @@
     target_ready: int
 
 
-class GoOn(Struct, frozen=True):
-    """The version gets this part of the calls from now on."""
+class Advance(Struct, frozen=True):
+    """Shift this fraction of the calls to the version."""
 
     permille: int
 
 
-class End(Struct, frozen=True):
-    """The rollout is over."""
+class Finish(Struct, frozen=True):
+    """End the rollout: completed or rolled back."""
 
     completed: bool
     reason: str
 
 
 class Wait(Struct, frozen=True):
-    """Nothing changes now."""
+    """Change nothing for now."""
 
 
-Decision = GoOn | End | Wait
+Decision = Advance | Finish | Wait
 
 
-def first_permille(baseline_ready: int, limits: Limits) -> int:
-    """Return the part of the calls that gives one back end of a version the usual load."""
-    usual = WHOLE // max(1, baseline_ready)
-    most = int(limits.exposed_part * CANARY_PART_OF_LIMIT * WHOLE)
-    return max(1, min(max(usual, LEAST_PERMILLE), most))
+def canary_permille(baseline_ready: int, limit: ExposureLimit) -> int:
+    """Return the fraction of the calls that gives one back end of the version its usual load."""
+    usual = ALL_PERMILLE // max(1, baseline_ready)
+    most = int(limit.fraction * CANARY_EXPOSURE_FRACTION * ALL_PERMILLE)
+    return max(1, min(max(usual, MIN_CANARY_PERMILLE), most))
 
 
-def last_step(duration: float, permille: int, limits: Limits) -> float:
-    """Return for how many seconds all calls may go to a version that is bad after all."""
-    part = permille / WHOLE
-    left = (limits.exposed_part * USED_PART_OF_LIMIT - part) * duration / (1.0 - part)
-    return min(LONGEST_LAST_STEP, max(LEAST_LAST_STEP, left))
+def last_step_duration(duration: float, permille: int, limit: ExposureLimit) -> float:
+    """Return for how many seconds all calls may go to the version within the exposure limit."""
+    fraction = permille / ALL_PERMILLE
+    remaining = (limit.fraction * USED_EXPOSURE_FRACTION - fraction) * duration / (1.0 - fraction)
+    return min(MAX_LAST_STEP, max(MIN_LAST_STEP, remaining))
 
 
-def decide(running: Running, verdict: Verdict, limits: Limits) -> Decision:
-    """Return what is to be done with a rollout now."""
+def decide(progress: RolloutProgress, verdict: Verdict, limit: ExposureLimit) -> Decision:
+    """Return what to do next with a rollout."""
     if verdict.finding is Finding.BAD:
-        return End(False, verdict.reason)
-    if running.permille >= WHOLE:
-        return _decide_at_last_step(running, verdict)
-    if not running.permille:
-        if not running.target_ready:
-            return _decide_at_deadline(running, "no back end of the version takes work")
-        return GoOn(first_permille(running.baseline_ready, limits))
-    window = last_step(running.duration, running.permille, limits) + TOLD_BEFORE_DEADLINE
-    if running.elapsed < running.duration - window:
+        return Finish(False, verdict.reason)
+    if progress.permille >= ALL_PERMILLE:
+        return _decide_at_last_step(progress, verdict)
+    if not progress.permille:
+        if not progress.target_ready:
+            return _roll_back_at_deadline(progress, "no back end of the version is ready")
+        return Advance(canary_permille(progress.baseline_ready, limit))
+    reserved = last_step_duration(progress.duration, progress.permille, limit) + DEADLINE_MARGIN
+    if progress.elapsed < progress.duration - reserved:
         return Wait()
     if verdict.finding is Finding.GOOD:
-        return GoOn(WHOLE)
-    return End(False, f"not proved good by its deadline: {verdict.reason}")
+        return Advance(ALL_PERMILLE)
+    return Finish(False, f"not found good by its deadline: {verdict.reason}")
 
 
-def _decide_at_last_step(running: Running, verdict: Verdict) -> Decision:
+def _decide_at_last_step(progress: RolloutProgress, verdict: Verdict) -> Decision:
     if verdict.finding is Finding.SUSPECT:
-        return End(False, verdict.reason)
-    if running.elapsed < running.duration - TOLD_BEFORE_DEADLINE:
+        return Finish(False, verdict.reason)
+    if progress.elapsed < progress.duration - DEADLINE_MARGIN:
         return Wait()
-    return End(True, verdict.reason)
+    return Finish(True, verdict.reason)
 
 
-def _decide_at_deadline(running: Running, reason: str) -> Decision:
-    if running.elapsed < running.duration - TOLD_BEFORE_DEADLINE:
+def _roll_back_at_deadline(progress: RolloutProgress, reason: str) -> Decision:
+    if progress.elapsed < progress.duration - DEADLINE_MARGIN:
         return Wait()
-    return End(False, reason)
+    return Finish(False, reason)
--- a/src/limelever/rollout/tally.py
+++ b/src/limelever/rollout/tally.py
@@ -1,7 +1,8 @@
-"""Sums of how a version's calls ended: they only grow, so that news may be late, doubled or lost.
+"""Counts of a version's ended calls, by route, with a histogram of their durations.
 
-An agent counts its own back end's answers by route while a rollout of its service runs. The times
-are counted in buckets a quarter apart, fine enough to tell a version that is twice as slow.
+An agent counts the answers of its back end while a rollout of the service runs. Counts only grow,
+so that messages may be late, repeated or lost. Histogram buckets grow by a quarter each, fine
+enough to detect a version that is twice as slow.
 """
 
 from __future__ import annotations
@@ -14,36 +15,38 @@
 
 from limelever.protocol.endpoints_pb2 import RouteTally, VersionTally
 
-SHORTEST_TIME = 0.001
-"""Seconds; shorter calls are in the first bucket."""
+FIRST_BOUND = 0.001
+"""Upper bound in seconds of the first bucket."""
 
 BUCKET_GROWTH = 1.25
 BUCKET_COUNT = 48
-"""The last bucket begins at 36 s: no call of a mesh runs longer."""
+"""The last bucket begins at 36 s, beyond the longest call."""
 
-ROUTES_LIMIT = 64
-"""Routes counted each for itself, the first that were called; a bound on the message."""
+MAX_ROUTES = 64
+"""Routes counted separately; bounds the size of a message. Further routes are counted together."""
 
 OTHER_ROUTES = "other"
-_BOUNDS = tuple(SHORTEST_TIME * BUCKET_GROWTH**power for power in range(BUCKET_COUNT - 1))
+_BOUNDS = tuple(FIRST_BOUND * BUCKET_GROWTH**power for power in range(BUCKET_COUNT - 1))
 
 
 class RouteSums(Struct):
-    """The calls of one route that ended; ``times`` counts those that were not failures."""
+    """The ended calls of a route; ``times`` is the duration histogram of those that succeeded."""
 
     answers: int = 0
     failures: int = 0
     times: list[int] = field(default_factory=lambda: [0] * BUCKET_COUNT)
 
     def add(self, other: RouteSums) -> None:
-        """Take in the sums of another back end."""
+        """Add the sums of another back end."""
         self.answers += other.answers
         self.failures += other.failures
-        self.times = [mine + its for mine, its in zip(self.times, other.times, strict=True)]
+        self.times = [
+            count + other_count for count, other_count in zip(self.times, other.times, strict=True)
+        ]
 
 
 class Tally:
-    """What one agent counts; ``rollout`` is when the rollout was ordered, Unix milliseconds."""
+    """The counts of one agent; ``rollout`` is when the rollout was ordered, Unix milliseconds."""
 
     def __init__(self, service: str, instance: str, version: str, rollout: int) -> None:
         self.service = service
@@ -52,22 +55,25 @@
         self.rollout = rollout
         self._by_route: dict[str, RouteSums] = {}
 
-    def ended(self, route: str, ran: float, failed: bool) -> None:
-        """Count a call that ran for ``ran`` seconds."""
-        if route not in self._by_route and len(self._by_route) >= ROUTES_LIMIT:
+    def add_call(self, route: str, duration: float, failed: bool) -> None:
+        """Count an ended call; ``duration`` in seconds."""
+        if route not in self._by_route and len(self._by_route) >= MAX_ROUTES:
             route = OTHER_ROUTES
         sums = self._by_route.setdefault(route, RouteSums())
         sums.answers += 1
         if failed:
             sums.failures += 1
         else:
-            sums.times[bisect_left(_BOUNDS, ran)] += 1
+            sums.times[bisect_left(_BOUNDS, duration)] += 1
 
     def message(self) -> VersionTally:
-        """Return the sums as they are told."""
+        """Return the counts as a message for the relay."""
         routes = [
             RouteTally(
-                route=name, answers=sums.answers, failures=sums.failures, times=_cut(sums.times)
+                route=name,
+                answers=sums.answers,
+                failures=sums.failures,
+                times=_without_trailing_zeros(sums.times),
             )
             for name, sums in self._by_route.items()
         ]
@@ -80,34 +86,33 @@
         )
 
 
-def answers_in(tally: VersionTally) -> int:
-    """Return how many calls a message counts: of two of one agent the higher is the newer."""
+def answer_count(tally: VersionTally) -> int:
+    """Return the calls in a message; of two messages of one agent, the higher count is newer."""
     return sum(route.answers for route in tally.routes)
 
 
-def joined(tallies: Iterable[VersionTally]) -> Mapping[str, RouteSums]:
+def merge_tallies(tallies: Iterable[VersionTally]) -> Mapping[str, RouteSums]:
     """Return the sums of several agents by route."""
     by_route: dict[str, RouteSums] = {}
     for tally in tallies:
-        for told in tally.routes:
-            sums = by_route.setdefault(told.route, RouteSums())
-            times = [*told.times, *(0 for _ in range(BUCKET_COUNT - len(told.times)))]
-            sums.add(RouteSums(told.answers, told.failures, times[:BUCKET_COUNT]))
+        for route in tally.routes:
+            sums = by_route.setdefault(route.route, RouteSums())
+            times = [*route.times, *(0 for _ in range(BUCKET_COUNT - len(route.times)))]
+            sums.add(RouteSums(route.answers, route.failures, times[:BUCKET_COUNT]))
     return by_route
 
 
-def _cut(times: list[int]) -> list[int]:
-    """Return the counts without the empty buckets at the end."""
-    last = max((place for place, count in enumerate(times) if count), default=-1)
+def _without_trailing_zeros(times: list[int]) -> list[int]:
+    last = max((index for index, count in enumerate(times) if count), default=-1)
     return times[: last + 1]
 
 
-def slow_from(times: list[int], part: float) -> int:
-    """Return the first bucket above that in which ``part`` of the times are reached."""
-    wanted = math.ceil(sum(times) * part)
-    reached = 0
-    for place, count in enumerate(times):
-        reached += count
-        if reached >= wanted:
-            return place + 1
+def first_bucket_above(times: list[int], quantile: float) -> int:
+    """Return the index of the first histogram bucket above a quantile."""
+    wanted = math.ceil(sum(times) * quantile)
+    seen = 0
+    for index, count in enumerate(times):
+        seen += count
+        if seen >= wanted:
+            return index + 1
     return len(times)
