--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the evidence against requests under which back ends have ended."""
+"""Steps for the crash history and the quarantine of requests."""
 
 from __future__ import annotations
 
@@ -27,134 +27,136 @@
 MACHINES = 4
 REQUESTS = 3
 CRASHED = Failure(ErrorKind.BACKEND_CRASHED, "the back end's process has ended")
-NEWS_DELAY = 0.1
-"""Seconds until all proxies have heard: two batches and the ways between."""
+UPDATE_DELAY = 0.1
+"""Seconds until an update has reached all proxies: two batches and the network latency."""
 
 
-def suspect(number: int) -> Fingerprint:
+def numbered_request(number: int) -> Fingerprint:
     return Fingerprint.of("orders", b"GET", b"/orders/%d" % number, b"")
 
 
 @then(
-    "any crashes and answers, told in any order and any number of times, leave all machines with "
-    "the same verdicts"
+    "any crashes and answers, sent in any order and any number of times, leave all machines with "
+    "the same records"
 )
-def same_verdicts(context: Context) -> None:
+def step_replicas_converge(context: Context) -> None:
     machine, request = st.integers(0, MACHINES - 1), st.integers(0, REQUESTS - 1)
     step = st.one_of(
         st.tuples(st.just("crash"), machine, request, st.integers(1, 6)),
         st.tuples(st.just("answer"), machine, request, st.just(0)),
-        st.tuples(st.just("tell"), machine, machine, st.just(0)),
+        st.tuples(st.just("update"), machine, machine, st.just(0)),
     )
 
     @CASES
     @examples(st.lists(step, max_size=40), st.randoms(use_true_random=False))
     def check(steps, draw) -> None:
         machines = [CrashHistory() for _ in range(MACHINES)]
-        for what, first, second, crash in steps:
-            if what == "crash":
-                machines[first].add_crash((SuspectRequest(suspect(second), crash % 3),), crash, 0.0)
-            elif what == "answer":
-                machines[first].clear(suspect(second).request)
+        for kind, first, second, crash in steps:
+            if kind == "crash":
+                machines[first].add_crash(
+                    (SuspectRequest(numbered_request(second), crash % 3),), crash, 0.0
+                )
+            elif kind == "answer":
+                machines[first].clear(numbered_request(second).request)
             else:
                 machines[second].merge(machines[first].full_update(0.0), 0.0)
         for _ in range(MACHINES):
             order = draw.sample(range(MACHINES), MACHINES)
-            for teller in order:
-                for listener in draw.sample(range(MACHINES), MACHINES):
-                    machines[listener].merge(machines[teller].full_update(0.0), 0.0)
-        verdicts = [
+            for sender in order:
+                for receiver in draw.sample(range(MACHINES), MACHINES):
+                    machines[receiver].merge(machines[sender].full_update(0.0), 0.0)
+        records = [
             {each.fingerprint: (each.crashes, each.cleared) for each in machine.all()}
             for machine in machines
         ]
-        assert all(each == verdicts[0] for each in verdicts), verdicts
+        assert all(each == records[0] for each in records), records
         assert not any(each.missing_from(machines[0].full_update(0.0)) for each in machines)
 
     check()
 
 
-@given("evidence of {count:d} crashes under a request")
-def evidence_of(context: Context, count: int) -> None:
+@given("{count:d} crashes in a row under a request")
+def step_crashes(context: Context, count: int) -> None:
     context.now = 0.0
-    context.evidence = CrashHistory()
+    context.history = CrashHistory()
     for crash in range(count):
-        context.evidence.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, context.now)
-    context.told = context.evidence.full_update(context.now)
+        context.history.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, context.now)
+    context.full_update = context.history.full_update(context.now)
 
 
-@when("{count:d} back ends end at one moment under a request that runs at all of them")
-def end_at_once(context: Context, count: int) -> None:
-    context.now, context.evidence = 0.0, CrashHistory()
+@when("{count:d} back ends crash at once under a request that runs at all of them")
+def step_simultaneous_crashes(context: Context, count: int) -> None:
+    context.now, context.history = 0.0, CrashHistory()
     for crash in range(count):
-        context.evidence.add_crash((SuspectRequest(REQUEST),), crash + 1, context.now)
+        context.history.add_crash((SuspectRequest(REQUEST),), crash + 1, context.now)
 
 
-@when("a third back end ends under it")
-def third_ends(context: Context) -> None:
-    context.evidence.add_crash((SuspectRequest(REQUEST, 2),), 3, context.now)
+@when("a third back end crashes under it")
+def step_third_crash(context: Context) -> None:
+    context.history.add_crash((SuspectRequest(REQUEST, 2),), 3, context.now)
 
 
 @when("the request is answered")
-def is_answered(context: Context) -> None:
-    assert context.evidence.clear(REQUEST.request)
+def step_answered(context: Context) -> None:
+    assert context.history.clear(REQUEST.request)
 
 
-@when("news of the same crashes come once more")
-def told_again(context: Context) -> None:
-    assert context.evidence.merge(context.told, context.now) == []
+@when("an update with the same crashes arrives again")
+def step_repeated_update(context: Context) -> None:
+    assert context.history.merge(context.full_update, context.now) == []
 
 
-@then("the request is convicted")
-def is_convicted(context: Context) -> None:
-    context.evidence.expire(context.now)
-    held = context.evidence.get(REQUEST.request)
-    assert held is not None and held.is_quarantined, held
+@then("the request is quarantined")
+def step_quarantined(context: Context) -> None:
+    context.history.expire(context.now)
+    record = context.history.get(REQUEST.request)
+    assert record is not None and record.is_quarantined, record
 
 
-@then("the request is not convicted")
-def is_not_convicted(context: Context) -> None:
-    held = context.evidence.get(REQUEST.request)
-    assert held is not None and not held.is_quarantined, held
+@then("the request is not quarantined")
+def step_not_quarantined(context: Context) -> None:
+    record = context.history.get(REQUEST.request)
+    assert record is not None and not record.is_quarantined, record
 
 
-@when("{count:d} others each share one crash")
-def many_others(context: Context, count: int) -> None:
+@when("{count:d} other requests have one crash each")
+def step_other_requests(context: Context, count: int) -> None:
     for number in range(count):
-        suspected = SuspectRequest(suspect(number + 10))
-        context.evidence.add_crash((suspected,), number + 10, context.now)
+        suspect = SuspectRequest(numbered_request(number + 10))
+        context.history.add_crash((suspect,), number + 10, context.now)
 
 
-@then("at most {count:d} requests are known, and the convicted one is among them")
-def is_bounded(context: Context, count: int) -> None:
-    assert len(context.evidence) <= count
-    is_convicted(context)
+@then("at most {count:d} requests are recorded, and the quarantined one is among them")
+def step_requests_bounded(context: Context, count: int) -> None:
+    assert len(context.history) <= count
+    step_quarantined(context)
 
 
-@then("news of all of them take at most {size:d} bytes")
-def news_are_bounded(context: Context, size: int) -> None:
-    news: CrashNews = context.evidence.full_update(context.now)
+@then("a full update takes at most {size:d} bytes")
+def step_update_bounded(context: Context, size: int) -> None:
+    news: CrashNews = context.history.full_update(context.now)
     assert len(news.SerializeToString()) <= size, len(news.SerializeToString())
 
 
-@when("{seconds:d} seconds pass for the evidence")
-def time_passes(context: Context, seconds: int) -> None:
+@when("{seconds:d} seconds pass for the crash history")
+def step_time_passes(context: Context, seconds: int) -> None:
     context.now += seconds
 
 
-@then("nothing is known of the request")
-def is_forgotten(context: Context) -> None:
-    context.evidence.expire(context.now)
-    assert context.evidence.get(REQUEST.request) is None
-    assert not context.evidence.has_head(REQUEST.head)
+@then("the request is not recorded")
+def step_not_recorded(context: Context) -> None:
+    context.history.expire(context.now)
+    assert context.history.get(REQUEST.request) is None
+    assert not context.history.has_head(REQUEST.head)
 
 
-@then("requests with 3, 4, 5 and 12 crashes are kept away for 120, 240, 480 and 3600 seconds")
-def times_away(context: Context) -> None:
+@then("requests with 3, 4, 5 and 12 crashes are quarantined for 120, 240, 480 and 3600 seconds")
+def step_durations(context: Context) -> None:
     assert [quarantine_duration(count) for count in (3, 4, 5, 12)] == [120, 240, 480, 3600]
 
 
-@then("requests that differ by service, method, target or body have digests of their own")
-def digests_differ(context: Context) -> None:
+@then("requests that differ in service, method, target or body have different digests")
+def step_digests_differ(context: Context) -> None:
     others = [
         Fingerprint.of("prices", b"GET", b"/orders/1", b""),
         Fingerprint.of("orders", b"PUT", b"/orders/1", b""),
@@ -165,31 +167,31 @@
     assert others[3].head == REQUEST.head
 
 
-@then("the digests of a request with a secret in its body don't hold the secret")
-def digests_hide(context: Context) -> None:
+@then("an update on a request with a secret in its body doesn't contain the secret")
+def step_secret_hidden(context: Context) -> None:
     secret = b"card 4000"
-    evidence = CrashHistory()
-    suspected = SuspectRequest(Fingerprint.of("orders", b"PUT", b"/pay", secret))
-    evidence.add_crash((suspected,), 1, 0.0)
-    assert secret not in evidence.full_update(0.0).SerializeToString()
+    history = CrashHistory()
+    suspect = SuspectRequest(Fingerprint.of("orders", b"PUT", b"/pay", secret))
+    history.add_crash((suspect,), 1, 0.0)
+    assert secret not in history.full_update(0.0).SerializeToString()
 
 
 class Proxies:
-    """The quarantines of some proxies, which tell each other after ``NEWS_DELAY``."""
+    """The quarantines of several proxies; updates take ``UPDATE_DELAY``."""
 
     def __init__(self, count: int, crashes: int) -> None:
-        self.draw = random.Random(7)
+        self.random = random.Random(7)
         self.outputs: list[list] = [[] for _ in range(count)]
         self.all = [Quarantine(random.Random(n), self.outputs[n]) for n in range(count)]
-        evidence = CrashHistory()
+        history = CrashHistory()
         for crash in range(crashes):
-            evidence.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, 0.0)
+            history.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, 0.0)
         for each in self.all:
-            each.take(evidence.update_for((REQUEST.request,), 0.0), 0.0)
+            each.take(history.update_for((REQUEST.request,), 0.0), 0.0)
         self.calls = 0
 
-    def come(self, proxy: int, now: float) -> bool:
-        """Let the request come to a proxy; return whether it may reach a back end."""
+    def arrive(self, proxy: int, now: float) -> bool:
+        """Pass the request to a proxy; return whether it may reach a back end."""
         self.calls += 1
         part = RoutePart("orders", 1, 0, 0.0)
         route = RouteEntry(
@@ -199,48 +201,48 @@
         self.call = Call(self.calls, request, route, part, ShareKey("orders", "web"), now + 1.0)
         return self.all[proxy].refusal(self.call, now) is None
 
-    def tell_others(self, now: float) -> None:
-        for found in [o for outputs in self.outputs for o in outputs]:
-            if isinstance(found, CrashNewsFound):
+    def exchange_updates(self, now: float) -> None:
+        for output in [o for outputs in self.outputs for o in outputs]:
+            if isinstance(output, CrashNewsFound):
                 for each in self.all:
-                    each.take(found.news, now)
+                    each.take(output.news, now)
         for outputs in self.outputs:
             outputs.clear()
 
 
-@given("{count:d} proxies that keep a sound request from back ends after {crashes:d} crashes")
-def given_proxies(context: Context, count: int, crashes: int) -> None:
+@given("{count:d} proxies that quarantine a harmless request after {crashes:d} crashes")
+def step_proxies(context: Context, count: int, crashes: int) -> None:
     context.proxies = Proxies(count, crashes)
 
 
-@when("it comes to one of them drawn at random each {seconds:g} seconds")
-def it_comes(context: Context, seconds: float) -> None:
-    context.gap = seconds
+@when("it arrives at a random one of them every {seconds:g} seconds")
+def step_arrivals(context: Context, seconds: float) -> None:
+    context.interval = seconds
 
 
-@then("it is answered again after {least:d} to {most:d} seconds, and everywhere from then on")
-def is_back(context: Context, least: int, most: int) -> None:
+@then("it is answered after {least:d} to {most:d} seconds, and by every proxy from then on")
+def step_released(context: Context, least: int, most: int) -> None:
     proxies, now = context.proxies, 0.0
-    while not proxies.come(proxy := proxies.draw.randrange(len(proxies.all)), now):
-        now += context.gap
-    print(f"answered again after {now:.1f} s")
+    while not proxies.arrive(proxy := proxies.random.randrange(len(proxies.all)), now):
+        now += context.interval
+    print(f"answered after {now:.1f} s")
     assert least <= now <= most, now
     proxies.all[proxy].answered(proxies.call, 200, now)
     proxies.all[proxy].ended(proxies.call)
-    proxies.tell_others(now)
-    assert all(proxies.come(each, now + NEWS_DELAY) for each in range(len(proxies.all)))
+    proxies.exchange_updates(now)
+    assert all(proxies.arrive(each, now + UPDATE_DELAY) for each in range(len(proxies.all)))
 
 
-@then("a deadly one would have reached {count:d} back end in that time")
-def deadly_one(context: Context, count: int) -> None:
+@then("a request that crashes back ends reaches {count:d} of them in that time")
+def step_harmful_request(context: Context, count: int) -> None:
     proxies, now, reached = Proxies(len(context.proxies.all), 3), 0.0, 0
     while now < 2 * quarantine_duration(3):
-        proxy = proxies.draw.randrange(len(proxies.all))
-        if proxies.come(proxy, now):
+        proxy = proxies.random.randrange(len(proxies.all))
+        if proxies.arrive(proxy, now):
             reached += 1
             crash = AttemptEnded(proxies.call, CRASHED, 100 + reached, 3)
             proxies.all[proxy].crashed(crash, now)
             proxies.all[proxy].ended(proxies.call)
-            proxies.tell_others(now)
-        now += context.gap
+            proxies.exchange_updates(now)
+        now += context.interval
     assert reached == count, reached
