--- a/features/rollout/rollout.feature
+++ b/features/rollout/rollout.feature
@@ -1,34 +1,35 @@
-Feature: A service's calls are moved to another version only as far as its answers allow
+Feature: A rollout shifts a service's calls to another version, limited by canary analysis
+  Guards against bad versions that are promoted, good ones that are rolled back, and calls beyond the exposure limit.
 
-  Scenario: A good version is judged good, and a bad one bad, of whichever kind
-    Given versions drawn at random, each compared with a baseline of the same service
+  Scenario: Good versions are found good, and failing or slow ones bad
+    Given random versions, each compared with a baseline of the same service
     Then at most 1 in 100 good ones is found bad or suspect
-    And of the bad ones at least 98 in 100 are found bad within 600 calls
+    And at least 98 in 100 bad ones are found bad within 600 calls
 
-  Scenario: A version that is bad on one rare route alone is found
-    Given a version whose rare route fails 5 of 10 calls while others are served
+  Scenario: A version that fails on a rare route only is found bad
+    Given a version whose rare route fails 5 of 10 calls while other routes succeed
     Then it is found bad, and the reason names the route
 
-  Scenario: Faults that the baseline shares convict nobody
+  Scenario: Failures that the baseline shares don't count against a version
     Given a version and a baseline that both fail 2 of 10 calls
     Then the version is not found bad
 
-  Scenario: Sums of agents join in any order
-    Given the sums of some agents, they join to the same in any order
+  Scenario: Tallies of agents can be merged in any order
+    Given the tallies of several agents, their sums don't depend on the order
 
-  Scenario: The whole of the calls is moved as late as what may be exposed allows
+  Scenario: All calls are shifted as late as the deadline allows, within the exposure limit
     Given a rollout of 16 seconds at a service with 40 back ends
-    Then its first step is 25 in a thousand
+    Then its first step is 25 permille
     And a version that stays good is completed before the deadline
-    And a version that proves bad only at the end was given less than a tenth of the calls
+    And a version that turns bad only at the end received less than a tenth of the calls
 
-  Scenario: A version of which nothing is known is not moved on
+  Scenario: A version without enough answers is rolled back
     Given a rollout of 16 seconds at a service with 40 back ends
-    Then without a back end of the version it is rolled back before the deadline
+    Then without a ready back end of the version it is rolled back before the deadline
     And without enough answers it is rolled back before the deadline
 
-  Scenario Outline: Calls reach the versions that the rollout lets
-    Given a service with endpoints of versions "v1" and "v2", and one whose version is not known
+  Scenario Outline: Proxies split calls between versions as the rollout says
+    Given a service with endpoints of versions "v1" and "v2", and one of unknown version
     When its rollout from "v1" to "v2" is <state> at <permille>
     Then <part> of its calls go to "v2" and the others to "v1"
 
@@ -40,41 +41,41 @@
       | completed   | 1000     | all      |
       | rolled back | 50       | none     |
 
-  Scenario: A few endpoints carry what the version gets, the same ones at all proxies
-    Given a service with endpoints of versions "v1" and "v2", and one whose version is not known
+  Scenario: All proxies send the canary calls to the same few endpoints
+    Given a service with endpoints of versions "v1" and "v2", and one of unknown version
     When its rollout from "v1" to "v2" is running at 50
-    Then two proxies send the calls that are drawn to the same 1 endpoint of "v2"
+    Then two proxies send the canary calls to the same 1 endpoint of "v2"
 
-  Scenario: Without a rollout all versions are let
-    Given a service with endpoints of versions "v1" and "v2", and one whose version is not known
-    Then all its endpoints are let
+  Scenario: Without a rollout all versions receive calls
+    Given a service with endpoints of versions "v1" and "v2", and one of unknown version
+    Then all its endpoints may receive calls
 
-  Scenario: A configuration that replaces all keeps the rollouts of its services
+  Scenario: A replacing batch keeps the rollouts of services that it contains
     Given a state with a service, a route to it and a rollout
-    When a batch that replaces all names the service and another route
+    When a replacing batch contains the service and another route
     Then the rollout is kept
-    When a batch that replaces all names another service
-    Then the rollout is gone
+    When a replacing batch contains another service
+    Then the rollout is removed
 
-  Scenario: An agent counts for a rollout while it runs, and not while its back end is cold
-    Given an agent's count of version "v2" whose back end is cold for 3 seconds
+  Scenario: An agent counts calls while a rollout runs and its back end has warmed up
+    Given an agent's count of version "v2" whose back end warms up for 3 seconds
     When a rollout runs and calls end at 1, 4 and 4.1 seconds
-    Then 2 calls are told, and nothing more until another ends
+    Then 2 calls are reported, and nothing more until another ends
     When the rollout is over
-    Then calls that end are not counted
+    Then ended calls are not counted
 
-  Scenario: Relays hold the newest sums, and pass on those of their own agents
-    Given a relay's board with another relay listening
-    When an agent tells sums of 5 calls, then of 3, then of 8
-    Then the other relay was told of 5 and 8 calls
+  Scenario: Relays keep the newest tally of each agent, and forward those of their own agents
+    Given a relay's tally board with another relay subscribed
+    When an agent sends tallies of 5 calls, then of 3, then of 8
+    Then the other relay received tallies of 5 and 8 calls
     And the board holds 8 calls for the rollout and none for another
 
-  Scenario: A suspect version is not moved on, and one that proves bad ends at once
+  Scenario: A suspect version is rolled back at the deadline, and a bad one at once
     Given a rollout of 16 seconds at a service with 40 back ends
     Then a suspect version is rolled back before the deadline
-    And a version that proves bad after 5 seconds is rolled back then
+    And a version that turns bad after 5 seconds is rolled back then
 
-  Scenario: An order is taken once, and another one beside it is refused
+  Scenario: A repeated order has no effect, and a concurrent one is refused
     Given a control process with a service whose back ends are of "v1"
     When a rollout to "v2" in 12 seconds is ordered while the configuration changes 3 times
     Then it is running from "v1" to "v2"
@@ -85,13 +86,13 @@
     When a rollout of a service that is not known is ordered
     Then it is refused as "not-found", and the one to "v2" stands
 
-  Scenario: What follows a rollout that was completed starts from its version
+  Scenario: A completed rollout's version is the baseline of the next one
     Given a control process with a service whose back ends are of "v1"
     When a rollout to "v2" in 12 seconds is ordered and ends completed
     And a rollout to "v3" in 12 seconds is ordered
     Then it is running from "v2" to "v3"
 
-  Scenario: A rollout that was rolled back may be ordered anew, but not by a late resend
+  Scenario: A rollout that was rolled back can be ordered again, but not by a delayed retry
     Given a control process with a service whose back ends are of "v1"
     When a rollout to "v2" in 12 seconds is ordered and ends rolled back
     And the same rollout is ordered again
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps for rollouts: the judge, the steps, the gate at the proxies, the evidence, the state."""
+"""Steps for rollouts: canary analysis, progression, split at the proxies, tallies, state."""
 
 from __future__ import annotations
 
@@ -49,15 +49,15 @@
 }
 LIMIT = ExposureLimit(0.1)
 GOOD = Verdict(Finding.GOOD, "good")
-LOOK = 0.1
+POLL_INTERVAL = 0.1
 SEEDS = 50
-LEAST_CALLS, MOST_CALLS = 60, 600
-SPEEDS = (0.6, 0.7, 1.0, 1.4, 1.6)
-"""Times of the work at instances of one service, as parts of the usual."""
+MIN_CALLS, MAX_CALLS = 60, 600
+DURATION_FACTORS = (0.6, 0.7, 1.0, 1.4, 1.6)
+"""Durations of calls at the instances of one service, relative to the mean."""
 
 
-class DrawnVersion:
-    """Calls of a service with two to four routes; ``fault`` makes a part of them bad."""
+class RandomVersion:
+    """Random calls to two to four routes; ``fault`` makes a fraction of them bad in "v2"."""
 
     def __init__(self, seed: int, fault: str) -> None:
         self._random = random.Random(seed)
@@ -68,100 +68,100 @@
             for n in range(count)
         ]
         self._weights = [self._random.uniform(0.2, 1.0) for _ in range(count)]
-        self._failing = self._random.uniform(0.0, 0.01)
-        self._bad_part = self._random.uniform(0.3, 1.0)
-        self._slower = self._random.uniform(5.0, 9.0)
+        self._failure_rate = self._random.uniform(0.0, 0.01)
+        self._bad_fraction = self._random.uniform(0.3, 1.0)
+        self._slowdown = self._random.uniform(5.0, 9.0)
 
     def tally(self, version: str, calls: int, instances: int) -> list:
         tallies = []
         for number in range(instances):
             tally = Tally("orders", f"{version}-{number}", version, 1)
-            speed = self._random.choice(SPEEDS)
+            factor = self._random.choice(DURATION_FACTORS)
             for _ in range(calls // instances):
-                self._call(tally, speed, version)
+                self._call(tally, factor, version)
             tallies.append(tally.message())
         return tallies
 
-    def _call(self, tally: Tally, speed: float, version: str) -> None:
+    def _call(self, tally: Tally, factor: float, version: str) -> None:
         route, mean, spread = self._random.choices(self._routes, self._weights)[0]
-        ran = mean * speed * self._random.lognormvariate(0.0, spread)
-        failed = self._random.random() < self._failing
-        if version == "v2" and self.fault and self._random.random() < self._bad_part:
+        duration = mean * factor * self._random.lognormvariate(0.0, spread)
+        failed = self._random.random() < self._failure_rate
+        if version == "v2" and self.fault and self._random.random() < self._bad_fraction:
             failed = failed or self.fault == "fails"
-            ran *= self._slower if self.fault == "slow" else 1.0
-        tally.add_call(route, ran, failed)
+            duration *= self._slowdown if self.fault == "slow" else 1.0
+        tally.add_call(route, duration, failed)
 
 
 def finding(seed: int, fault: str, calls: int) -> Finding:
-    drawn = DrawnVersion(seed, fault)
-    baseline = merge_tallies(drawn.tally("v1", 4000, 40))
-    return analyze(merge_tallies(drawn.tally("v2", calls, 2)), baseline).finding
+    random_version = RandomVersion(seed, fault)
+    baseline = merge_tallies(random_version.tally("v1", 4000, 40))
+    return analyze(merge_tallies(random_version.tally("v2", calls, 2)), baseline).finding
 
 
-@given("versions drawn at random, each compared with a baseline of the same service")
-def given_drawn(context):
+@given("random versions, each compared with a baseline of the same service")
+def step_random_versions(context):
     context.findings = {
-        "": Counter(finding(seed, "", MOST_CALLS) for seed in range(SEEDS)),
-        "fails": Counter(finding(seed, "fails", MOST_CALLS) for seed in range(SEEDS)),
-        "slow": Counter(finding(seed, "slow", MOST_CALLS) for seed in range(SEEDS)),
+        "": Counter(finding(seed, "", MAX_CALLS) for seed in range(SEEDS)),
+        "fails": Counter(finding(seed, "fails", MAX_CALLS) for seed in range(SEEDS)),
+        "slow": Counter(finding(seed, "slow", MAX_CALLS) for seed in range(SEEDS)),
     }
 
 
 @then("at most 1 in 100 good ones is found bad or suspect")
-def then_good(context):
+def step_good_found(context):
     found = context.findings[""]
     assert found[Finding.BAD] + found[Finding.SUSPECT] <= SEEDS // 100, found
 
 
-@then("of the bad ones at least 98 in 100 are found bad within 600 calls")
-def then_bad(context):
+@then("at least 98 in 100 bad ones are found bad within 600 calls")
+def step_bad_found(context):
     for fault in ("fails", "slow"):
         found = context.findings[fault]
         assert found[Finding.BAD] >= SEEDS * 98 // 100, (fault, found)
 
 
 def sums(version, **by_route):
-    """Return merged sums; each route has a count of sound and one of failed calls."""
+    """Return sums by route, from the counts of successful and failed calls."""
     tally = Tally("orders", version, version, 1)
-    for route, (sound, failed) in by_route.items():
-        for number in range(sound + failed):
-            tally.add_call(route, 0.1, number >= sound)
+    for route, (succeeded, failed) in by_route.items():
+        for number in range(succeeded + failed):
+            tally.add_call(route, 0.1, number >= succeeded)
     return merge_tallies([tally.message()])
 
 
-@given("a version whose rare route fails 5 of 10 calls while others are served")
-def given_rare(context):
+@given("a version whose rare route fails 5 of 10 calls while other routes succeed")
+def step_rare_route(context):
     target = sums("v2", common=(300, 1), rare=(10, 10))
     context.verdict = analyze(target, sums("v1", common=(9000, 30), rare=(600, 2)))
 
 
 @then("it is found bad, and the reason names the route")
-def then_rare(context):
+def step_rare_route_named(context):
     assert context.verdict.finding is Finding.BAD, context.verdict
     assert context.verdict.reason.startswith("route rare: 10 of 20"), context.verdict
 
 
 @given("a version and a baseline that both fail 2 of 10 calls")
-def given_both(context):
+def step_shared_failures(context):
     context.verdict = analyze(sums("v2", one=(160, 40)), sums("v1", one=(1600, 400)))
 
 
 @then("the version is not found bad")
-def then_not_bad(context):
+def step_not_bad(context):
     assert context.verdict.finding is Finding.GOOD, context.verdict
 
 
-@given("the sums of some agents, they join to the same in any order")
-def given_sums(context):
+@given("the tallies of several agents, their sums don't depend on the order")
+def step_merged_tallies(context):
     calls = st.lists(st.tuples(st.sampled_from("abc"), st.floats(0, 50), st.booleans()), max_size=9)
 
     @PROPERTY
     @examples(st.lists(calls, max_size=5), st.randoms(use_true_random=False))
     def check(agents, order):
         tallies = []
-        for number, plan in enumerate(agents):
+        for number, agent_calls in enumerate(agents):
             tally = Tally("orders", str(number), "v1", 1)
-            for call in plan:
+            for call in agent_calls:
                 tally.add_call(*call)
             tallies.append(tally.message())
         shuffled = list(tallies)
@@ -173,75 +173,77 @@
 
 
 @given("a rollout of {seconds:d} seconds at a service with {count:d} back ends")
-def given_rollout(context, seconds, count):
+def step_rollout(context, seconds, count):
     context.duration, context.count = float(seconds), count
 
 
-def played(context, verdict_at, target_ready=40):
-    """Play a rollout; return its end, its first step and the part of all calls that it got."""
-    permille, given, first = 0, 0.0, None
-    for look in range(int(context.duration / LOOK) + 1):
-        elapsed = look * LOOK
-        running = RolloutProgress(permille, elapsed, context.duration, context.count, target_ready)
-        decision = decide(running, verdict_at(elapsed, permille), LIMIT)
-        given += permille / ALL_PERMILLE * LOOK / context.duration
+def run_rollout(context, verdict_at, target_ready=40):
+    """Run a rollout; return its end, first step, fraction of all calls and end time."""
+    permille, exposure, first = 0, 0.0, None
+    for poll in range(int(context.duration / POLL_INTERVAL) + 1):
+        elapsed = poll * POLL_INTERVAL
+        progress = RolloutProgress(permille, elapsed, context.duration, context.count, target_ready)
+        decision = decide(progress, verdict_at(elapsed, permille), LIMIT)
+        exposure += permille / ALL_PERMILLE * POLL_INTERVAL / context.duration
         if isinstance(decision, Advance):
             permille = decision.permille
             first = first if first is not None else permille
         elif isinstance(decision, Finish):
-            return decision, first, given, elapsed
+            return decision, first, exposure, elapsed
         else:
             assert isinstance(decision, Wait)
-    raise AssertionError("it runs beyond its deadline")
+    raise AssertionError("the rollout runs beyond its deadline")
 
 
-@then("its first step is {permille:d} in a thousand")
-def then_first_step(context, permille):
-    _, first, _, _ = played(context, lambda elapsed, step: GOOD)
+@then("its first step is {permille:d} permille")
+def step_first_step(context, permille):
+    _, first, _, _ = run_rollout(context, lambda elapsed, step: GOOD)
     assert first == permille
 
 
 @then("a version that stays good is completed before the deadline")
-def then_completed(context):
-    end, _, _, elapsed = played(context, lambda elapsed, step: GOOD)
+def step_completed(context):
+    end, _, _, elapsed = run_rollout(context, lambda elapsed, step: GOOD)
     assert end.completed and elapsed < context.duration, (end, elapsed)
 
 
-@then("a version that proves bad only at the end was given less than a tenth of the calls")
-def then_exposed(context):
+@then("a version that turns bad only at the end received less than a tenth of the calls")
+def step_exposure(context):
     def verdict(elapsed, step):
         late = step == ALL_PERMILLE and elapsed >= context.duration - 0.3
         return Verdict(Finding.BAD, "late") if late else GOOD
 
-    end, _, given, _ = played(context, verdict)
-    assert not end.completed and given < LIMIT.fraction, (end, given)
+    end, _, exposure, _ = run_rollout(context, verdict)
+    assert not end.completed and exposure < LIMIT.fraction, (end, exposure)
 
 
-@then("without a back end of the version it is rolled back before the deadline")
-def then_no_back_end(context):
-    end, _, given, elapsed = played(context, lambda elapsed, step: GOOD, target_ready=0)
-    assert not end.completed and not given and elapsed < context.duration, end
+@then("without a ready back end of the version it is rolled back before the deadline")
+def step_no_back_end(context):
+    end, _, exposure, elapsed = run_rollout(context, lambda elapsed, step: GOOD, target_ready=0)
+    assert not end.completed and not exposure and elapsed < context.duration, end
 
 
 @then("without enough answers it is rolled back before the deadline")
-def then_unknown(context):
+def step_unknown(context):
     unknown = Verdict(Finding.UNKNOWN, "nothing")
-    end, _, _, elapsed = played(context, lambda elapsed, step: unknown)
+    end, _, _, elapsed = run_rollout(context, lambda elapsed, step: unknown)
     assert not end.completed and elapsed < context.duration, end
 
 
 @then("a suspect version is rolled back before the deadline")
-def then_suspect(context):
+def step_suspect(context):
     suspect = Verdict(Finding.SUSPECT, "suspect")
-    end, _, _, elapsed = played(context, lambda elapsed, step: suspect)
+    end, _, _, elapsed = run_rollout(context, lambda elapsed, step: suspect)
     assert not end.completed and elapsed < context.duration, end
 
 
-@then("a version that proves bad after {seconds:d} seconds is rolled back then")
-def then_bad_at(context, seconds):
+@then("a version that turns bad after {seconds:d} seconds is rolled back then")
+def step_bad_at(context, seconds):
     bad = Verdict(Finding.BAD, "bad")
-    end, _, _, elapsed = played(context, lambda elapsed, step: bad if elapsed >= seconds else GOOD)
-    assert not end.completed and elapsed < seconds + 2 * LOOK, (end, elapsed)
+    end, _, _, elapsed = run_rollout(
+        context, lambda elapsed, step: bad if elapsed >= seconds else GOOD
+    )
+    assert not end.completed and elapsed < seconds + 2 * POLL_INTERVAL, (end, elapsed)
 
 
 def entry(name, version):
@@ -249,8 +251,8 @@
     return EndpointEntry(key, "a", 1, 1, address, 6, False, 0.0, version=version)
 
 
-@given('a service with endpoints of versions "v1" and "v2", and one whose version is not known')
-def given_endpoints(context):
+@given('a service with endpoints of versions "v1" and "v2", and one of unknown version')
+def step_endpoints(context):
     context.usable = (
         *(entry(f"old-{n}", "v1") for n in range(20)),
         *(entry(f"new-{n}", "v2") for n in range(20)),
@@ -260,7 +262,7 @@
 
 
 @when('its rollout from "{baseline}" to "{target}" is {state} at {permille:d}')
-def when_rollout(context, baseline, target, state, permille):
+def step_rollout_state(context, baseline, target, state, permille):
     rollout = Rollout(
         service="orders", target=target, baseline=baseline, state=STATES[state], permille=permille
     )
@@ -269,32 +271,32 @@
 
 
 @then('{part} of its calls go to "v2" and the others to "v1"')
-def then_part(context, part):
+def step_split(context, part):
     calls = 2000
-    lets = [context.gates[0].let("orders", context.usable) for _ in range(calls)]
-    versions = [{entry.version for entry in let} for let in lets]
+    pools = [context.gates[0].let("orders", context.usable) for _ in range(calls)]
+    versions = [{entry.version for entry in pool} for pool in pools]
     assert all(len(each) == 1 for each in versions)
-    counted = Counter(version for each in versions for version in each)
-    assert not counted[""]
+    counts = Counter(version for each in versions for version in each)
+    assert not counts[""]
     wanted = {"none": (0, 0), "all": (calls, calls), "about 50": (60, 140)}[part]
-    assert wanted[0] <= counted["v2"] <= wanted[1], counted
+    assert wanted[0] <= counts["v2"] <= wanted[1], counts
 
 
-@then('two proxies send the calls that are drawn to the same {count:d} endpoint of "v2"')
-def then_same(context, count):
-    drawn = []
+@then('two proxies send the canary calls to the same {count:d} endpoint of "v2"')
+def step_same_endpoints(context, count):
+    canaries = []
     for gate in context.gates:
-        lets = [gate.let("orders", context.usable) for _ in range(2000)]
-        drawn.append({e.key for let in lets for e in let if e.version == "v2"})
-    assert drawn[0] == drawn[1] and len(drawn[0]) == count, drawn
+        pools = [gate.let("orders", context.usable) for _ in range(2000)]
+        canaries.append({e.key for pool in pools for e in pool if e.version == "v2"})
+    assert canaries[0] == canaries[1] and len(canaries[0]) == count, canaries
 
 
-@then("all its endpoints are let")
-def then_all(context):
+@then("all its endpoints may receive calls")
+def step_all_endpoints(context):
     assert context.gates[0].let("orders", context.usable) is context.usable
 
 
-def replacing(number, service, route):
+def replacing_batch(number, service, route):
     put = [
         Resource(service=Service(name=service)),
         Resource(
@@ -307,91 +309,91 @@
 
 
 @given("a state with a service, a route to it and a rollout")
-def given_state(context):
+def step_state(context):
     context.state = StateMachine()
-    context.state.apply(1, replacing(1, "orders", "one"))
+    context.state.apply(1, replacing_batch(1, "orders", "one"))
     rollout = Rollout(service="orders", target="v2", state=ROLLOUT_STATE_RUNNING, duration_ms=1)
     batch = Batch(request_id="rollout-one@1", put=[Resource(rollout=rollout)])
     assert context.state.apply(2, batch).applied is not None
     context.number = 1
 
 
-@when("a batch that replaces all names the service and another route")
-def when_same_service(context):
-    assert context.state.apply(3, replacing(2, "orders", "two")).applied is not None
+@when("a replacing batch contains the service and another route")
+def step_replace_same_service(context):
+    assert context.state.apply(3, replacing_batch(2, "orders", "two")).applied is not None
 
 
-@when("a batch that replaces all names another service")
-def when_other_service(context):
-    assert context.state.apply(4, replacing(3, "stock", "two")).applied is not None
+@when("a replacing batch contains another service")
+def step_replace_other_service(context):
+    assert context.state.apply(4, replacing_batch(3, "stock", "two")).applied is not None
 
 
 @then("the rollout is kept")
-def then_kept(context):
+def step_kept(context):
     assert context.state.get(rollout_key("orders")) is not None
 
 
-@then("the rollout is gone")
-def then_gone(context):
+@then("the rollout is removed")
+def step_removed(context):
     assert context.state.get(rollout_key("orders")) is None
 
 
-@given('an agent\'s count of version "v2" whose back end is cold for {seconds:d} seconds')
-def given_count(context, seconds):
+@given('an agent\'s count of version "v2" whose back end warms up for {seconds:d} seconds')
+def step_agent_count(context, seconds):
     context.count = VersionCount("orders", "one", "")
     context.count.take_version("v2", float(seconds), 0.0)
 
 
 @when("a rollout runs and calls end at 1, 4 and 4.1 seconds")
-def when_counted(context):
+def step_calls_end(context):
     context.count.follow(Rollout(state=ROLLOUT_STATE_RUNNING, ordered_at_ms=7))
     for now in (1.0, 4.0, 4.1):
         context.count.ended("one", 0.5, False, now)
 
 
-@then("2 calls are told, and nothing more until another ends")
-def then_told(context):
-    told = context.count.take_news(5.0)
-    assert (answer_count(told), told.version, told.rollout) == (2, "v2", 7), told
+@then("2 calls are reported, and nothing more until another ends")
+def step_reported(context):
+    report = context.count.take_news(5.0)
+    assert (answer_count(report), report.version, report.rollout) == (2, "v2", 7), report
     assert context.count.take_news(6.0) is None
     context.count.ended("one", 0.5, False, 7.0)
     assert answer_count(context.count.take_news(7.0)) == 3
 
 
 @when("the rollout is over")
-def when_over(context):
+def step_rollout_over(context):
     context.count.follow(Rollout(state=ROLLOUT_STATE_COMPLETED, ordered_at_ms=7))
 
 
-@then("calls that end are not counted")
-def then_not_counted(context):
+@then("ended calls are not counted")
+def step_not_counted(context):
     context.count.ended("one", 0.5, False, 9.0)
     assert context.count.take_news(9.0) is None
 
 
-@given("a relay's board with another relay listening")
-def given_board(context):
+@given("a relay's tally board with another relay subscribed")
+def step_tally_board(context):
     context.board = TallyBoard()
     assert context.board.join(9) == []
 
 
-@when("an agent tells sums of 5 calls, then of 3, then of 8")
-def when_told(context):
-    context.told = []
+@when("an agent sends tallies of 5 calls, then of 3, then of 8")
+def step_agent_sends(context):
+    context.sent = []
     for calls in (5, 3, 8):
         tally = Tally("orders", "one", "v2", 7)
         for _ in range(calls):
             tally.add_call("one", 0.1, False)
-        context.told += context.board.from_agent(tally.message())
+        context.sent += context.board.from_agent(tally.message())
 
 
-@then("the other relay was told of 5 and 8 calls")
-def then_passed_on(context):
-    assert [answer_count(each.message) for each in context.told] == [5, 8]
-    assert {each.connection for each in context.told} == {9}
+@then("the other relay received tallies of 5 and 8 calls")
+def step_forwarded(context):
+    assert [answer_count(each.message) for each in context.sent] == [5, 8]
+    assert {each.connection for each in context.sent} == {9}
 
 
 @then("the board holds 8 calls for the rollout and none for another")
-def then_held(context):
+def step_board_holds(context):
     assert [answer_count(each) for each in context.board.of("orders", 7)] == [8]
     assert not context.board.of("orders", 8)
