--- a/src/limelever/agent/backend_monitor.py
+++ b/src/limelever/agent/backend_monitor.py
@@ -16,7 +16,7 @@
 from limelever.common.deadlines import earliest
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.endpoints_pb2 import CrashNews
-from limelever.quarantine.evidence import Evidence, Suspected
+from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
 
 CRASH_BITS = 64
 """Size in bits of the random identifier of a crash."""
@@ -34,7 +34,7 @@
 
     held: tuple[HeldCall, ...] = ()
     crash: int = NO_CRASH
-    suspects: tuple[Suspected, ...] = ()
+    suspects: tuple[SuspectRequest, ...] = ()
     fell_silent: bool = False
     recovered: bool = False
 
@@ -126,8 +126,8 @@
         """Return when a connection check is due, ``None`` if there is no need."""
         return earliest(self._silence.next_deadline(), self._crashes.next_deadline())
 
-    def _report(self, suspects: Sequence[Suspected], now: float) -> int:
+    def _report(self, suspects: Sequence[SuspectRequest], now: float) -> int:
         crash = self._generator.getrandbits(CRASH_BITS)
-        evidence = Evidence()
-        self._crash_news.append(evidence.news(evidence.crashed(suspects, crash, now), now))
+        history = CrashHistory()
+        self._crash_news.append(history.update_for(history.add_crash(suspects, crash, now), now))
         return crash
