--- a/features/steps/agent_response_steps.py
+++ b/features/steps/agent_response_steps.py
@@ -154,7 +154,7 @@
     for _ in range(50):
         context.estimate.observe("common", context.usual)
     call = QueuedCall(99, "asked", deadline / 1000.0, 0, 0.0, target / 1000.0)
-    wait = context.estimate.wait(group, 0.0)
+    wait = context.estimate.expected_wait(group, 0.0)
     refused = context.estimate.exceeds_wait_limit(group, call, 0.0, wait)
     assert refused is (fate == "refused"), wait
 
--- a/src/limelever/agent/backend_refusals.py
+++ b/src/limelever/agent/backend_refusals.py
@@ -10,6 +10,6 @@
 """Retry delay when slots are free; positive to bound the rate of callers that retry in a loop."""
 
 
-def has_room(running: int, waiting: int, slots: int) -> bool:
+def has_spare_capacity(running: int, queued: int, slots: int) -> bool:
     """Return whether a backend that refused a request had a free slot and no waiting calls."""
-    return waiting == 0 and running < slots
+    return queued == 0 and running < slots
--- a/src/limelever/agent/body_credit.py
+++ b/src/limelever/agent/body_credit.py
@@ -25,7 +25,7 @@
 MIN_CHUNK_BYTES = 4096
 """Minimum chunk size at any link rate, to limit the overhead per message."""
 
-UNPACED_CHUNK_BYTES = 256 * 1024
+DEFAULT_CHUNK_BYTES = 256 * 1024
 """Chunk size if the link rate is unknown."""
 
 STALL_TIMEOUT_SECONDS = 0.25
@@ -62,8 +62,8 @@
 
     def __init__(self, rate: int = 0) -> None:
         self._rate = rate
-        paced_bytes = max(MIN_CHUNK_BYTES, int(rate * CHUNK_SECONDS))
-        self._chunk_bytes = paced_bytes if rate else UNPACED_CHUNK_BYTES
+        link_chunk_bytes = max(MIN_CHUNK_BYTES, int(rate * CHUNK_SECONDS))
+        self._chunk_bytes = link_chunk_bytes if rate else DEFAULT_CHUNK_BYTES
         self._by_call: dict[int, _Body] = {}
         self._granted_at = -math.inf
 
--- a/src/limelever/agent/call_receiver.py
+++ b/src/limelever/agent/call_receiver.py
@@ -17,7 +17,7 @@
 _MILLISECONDS = 1000.0
 
 
-class Refusal(Struct, frozen=True):
+class Rejection(Struct, frozen=True):
     """Why a call is rejected; without ``failure`` nothing is sent to its proxy."""
 
     failure: Failure | None
@@ -68,8 +68,8 @@
 
     def accept(
         self, connection: ConnectionId, peer: str, start: CallStart, now: float, draining: bool
-    ) -> Call | Refusal:
-        """Handle the first message of a call; a rejected one is NOT RUN or a duplicate."""
+    ) -> Call | Rejection:
+        """Handle the first message of a call; a rejected one was not run or is a duplicate."""
         if start.agent_incarnation != self._incarnation:
             return self._wrong_incarnation(peer, start)
         if self._recent.due(now):
@@ -78,7 +78,7 @@
             return self._duplicate(connection, peer, start)
         failure = self._check(connection, start, draining)
         if failure is not None:
-            return Refusal(failure)
+            return Rejection(failure)
         deadline = now + start.deadline_left_ms / _MILLISECONDS
         target_left = start.target_left_ms / _MILLISECONDS
         target = now + target_left if target_left else math.inf
@@ -149,14 +149,14 @@
         stream_in_use = self._calls.by_stream(connection, start.stream) is not None
         return check_start(start, self._service, stream_in_use, self._max_body_bytes)
 
-    def _wrong_incarnation(self, peer: str, start: CallStart) -> Refusal:
+    def _wrong_incarnation(self, peer: str, start: CallStart) -> Rejection:
         failure = Failure(ErrorKind.WRONG_INCARNATION, f"agent has incarnation {self._incarnation}")
         fields: dict[str, object] = {"peer": peer, "incarnation": start.agent_incarnation}
-        return Refusal(failure, LogEvent(events.WRONG_INCARNATION, fields))
+        return Rejection(failure, LogEvent(events.WRONG_INCARNATION, fields))
 
-    def _duplicate(self, connection: ConnectionId, peer: str, start: CallStart) -> Refusal:
+    def _duplicate(self, connection: ConnectionId, peer: str, start: CallStart) -> Rejection:
         log = LogEvent(events.DUPLICATE_ATTEMPT, {"peer": peer})
         current = self._calls.by_stream(connection, start.stream)
         if current is not None and current.start.attempt_id == start.attempt_id:
-            return Refusal(None, log)
-        return Refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, "attempt was received before"), log)
+            return Rejection(None, log)
+        return Rejection(Failure(ErrorKind.OUTCOME_UNKNOWN, "attempt was received before"), log)
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -19,7 +19,7 @@
 from limelever.agent import answers, events, failures
 from limelever.agent.answers import NO_CRASH
 from limelever.agent.backend_monitor import BackendMonitor, CheckOutcome
-from limelever.agent.call_receiver import BodyLimits, CallReceiver, Refusal
+from limelever.agent.call_receiver import BodyLimits, CallReceiver, Rejection
 from limelever.agent.calls import Call, CallStage, CallTable, Orphaned
 from limelever.agent.crash_watch import HeldCall
 from limelever.agent.fair_queue import Eviction, FairQueue, QueueLimits
@@ -139,7 +139,7 @@
         """Take a call in, or refuse it."""
         self._replies.now = now
         call = self._intake.accept(connection, peer, start, now, self.draining)
-        if isinstance(call, Refusal):
+        if isinstance(call, Rejection):
             logs: list[Output] = [call.log] if call.log is not None else []
             if call.failure is None:
                 return logs
--- a/src/limelever/agent/connection_pool.py
+++ b/src/limelever/agent/connection_pool.py
@@ -15,8 +15,8 @@
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.settings import seconds
 
-KEEP_ALIVE_MARGIN = 1.0
-"""Seconds before the end of the backend's keep-alive timeout at which a connection is closed."""
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+"""Time before the end of the backend's keep-alive timeout at which a connection is closed."""
 
 _KEEP_ALIVE = b"keep-alive"
 
@@ -70,9 +70,9 @@
             self._capacity.acquire_nowait()
         except trio.WouldBlock:
             await self._capacity.acquire()
-        kept = self._pop_idle()
-        if kept is not None:
-            return kept
+        idle = self._pop_idle()
+        if idle is not None:
+            return idle
         opened: BackendConnection | Failure | None = None
         try:
             opened = await self._open()
@@ -162,7 +162,8 @@
 def keep_alive_seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
     """Return the maximum idle time of a connection by the response's Keep-Alive header.
 
-    The margin covers the transmission time: the backend counts from its last byte.
+    The margin covers the transmission time: the backend starts its timeout when it sends the last
+    byte.
     """
     for name, value in headers:
         if name.lower() != _KEEP_ALIVE:
@@ -170,5 +171,5 @@
         for part in value.split(b","):
             key, _, number = part.strip().partition(b"=")
             if key.lower() == b"timeout" and number.isdigit():
-                return max(0.0, int(number) - KEEP_ALIVE_MARGIN)
+                return max(0.0, int(number) - KEEP_ALIVE_MARGIN_SECONDS)
     return math.inf
--- a/src/limelever/agent/deadline_heap.py
+++ b/src/limelever/agent/deadline_heap.py
@@ -5,6 +5,7 @@
 import heapq
 
 _COMPACTION_SLACK = 64
+"""Excess of stale entries over members from which the heap is rebuilt."""
 
 
 class DeadlineHeap:
@@ -37,14 +38,14 @@
 
     def pop_expired(self, now: float) -> tuple[int, ...]:
         """Remove and return the members whose deadline is not after ``now``."""
-        pop_expired: list[int] = []
+        expired: list[int] = []
         self._discard_stale_entries()
         while self._heap and self._heap[0][0] <= now:
             _, number = heapq.heappop(self._heap)
             del self._deadline_of[number]
-            pop_expired.append(number)
+            expired.append(number)
             self._discard_stale_entries()
-        return tuple(pop_expired)
+        return tuple(expired)
 
     def _discard_stale_entries(self) -> None:
         while self._heap and self._heap[0][1] not in self._deadline_of:
--- a/src/limelever/agent/fair_queue.py
+++ b/src/limelever/agent/fair_queue.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from limelever.agent.backend_refusals import IMMEDIATE_RETRY_SECONDS, has_room
+from limelever.agent.backend_refusals import IMMEDIATE_RETRY_SECONDS, has_spare_capacity
 from limelever.agent.deadline_heap import DeadlineHeap
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
@@ -108,14 +108,14 @@
     def offer(
         self, call: QueuedCall, now: float, *, prechecked: bool = False
     ) -> Failure | tuple[Eviction, ...]:
-        """Enqueue a call, or reject it immediately (NOT RUN) if it cannot meet its deadline.
+        """Enqueue a call, or reject it immediately if it would wait too long.
 
         A ``prechecked`` call passed :meth:`check` before its body was requested. It is rejected
-        only if its deadline has passed, because its body has already been transferred. Returns the
-        calls evicted to make room for it.
+        only if its deadline has passed or its group exceeds its share of bytes, because its body
+        has already been transferred. Returns the calls evicted to make room for it.
         """
         group = self._groups.open(call.group, self._virtual_time)
-        failure = _past_deadline(call, now) if prechecked else self._refusal(group, call, now)
+        failure = _past_deadline(call, now) if prechecked else self._rejection(group, call, now)
         if failure is None:
             evictions = self._free_bytes(group, call.size, now)
             if not isinstance(evictions, Failure):
@@ -132,7 +132,7 @@
         Does not enqueue the call.
         """
         group = self._groups.open(call.group, self._virtual_time)
-        failure = self._refusal(group, call, now, body_delay)
+        failure = self._rejection(group, call, now, body_delay)
         self._groups.remove_if_idle(group, self._virtual_time)
         return failure
 
@@ -155,7 +155,7 @@
         call = group.pop_next()
         self._forget_queued(call)
         self._virtual_time = max(self._virtual_time, group.start_tag)
-        charged = self._estimator.charge(group)
+        charged = self._estimator.expected_charge(group)
         group.charge(charged)
         group.running += 1
         self._running[call.number] = _RunningCall(group.name, now, charged)
@@ -221,7 +221,7 @@
 
     def retry_after_backend_refusal(self, name: str, now: float) -> float:
         """Return the retry delay for a caller whose request the backend itself refused."""
-        if has_room(self.running, self.queued, self._limits.slots):
+        if has_spare_capacity(self.running, self.queued, self._limits.slots):
             return IMMEDIATE_RETRY_SECONDS
         return self.retry_after(name, now)
 
@@ -232,7 +232,7 @@
             return None
         return min(earliest, self._slot_available_at)
 
-    def _refusal(
+    def _rejection(
         self, group: GroupQueue, call: QueuedCall, now: float, body_delay: float = 0.0
     ) -> Failure | None:
         failure = _past_deadline(call, now)
@@ -290,7 +290,7 @@
         return tuple(evictions)
 
     def _free_position(self, group: GroupQueue, tenant: str, now: float) -> tuple[Eviction, ...]:
-        """Evict a call of the tenant with the longest queue if the group's queue is full."""
+        """If the group's queue is full, evict a call of the tenant most above its share, if any."""
         number = group.tenants.eviction_candidate(tenant) if self._is_full(group) else None
         if number is None:
             return ()
@@ -333,7 +333,7 @@
 
     def _wait(self, group: GroupQueue, now: float, tenant: str = "") -> float:
         urgent = self._reservation.held_by_more_urgent(priority_of(group.name), now)
-        return self._estimator.wait(group, self._virtual_time, urgent, tenant)
+        return self._estimator.expected_wait(group, self._virtual_time, urgent, tenant)
 
     def _reset_when_idle(self) -> None:
         if not self._running and not self._group_of:
--- a/src/limelever/agent/load_reports.py
+++ b/src/limelever/agent/load_reports.py
@@ -25,7 +25,7 @@
 class LoadReporter:
     """Tracks the load and the last report; times in seconds.
 
-    A change to or from an unresponsive backend is reported immediately.
+    ``LARGEST_LOAD`` marks an unresponsive backend; a change to or from it is reported immediately.
     """
 
     def __init__(self) -> None:
--- a/src/limelever/agent/pace.py
+++ b/src/limelever/agent/pace.py
@@ -16,7 +16,10 @@
 
 
 class PaceTracker:
-    """The last reported pace in permille, 1000 is normal; times in monotonic seconds."""
+    """The last reported pace in permille; times in monotonic seconds.
+
+    1000 is normal, higher is slower.
+    """
 
     def __init__(self) -> None:
         self._permille = 0
--- a/src/limelever/agent/response_pacer.py
+++ b/src/limelever/agent/response_pacer.py
@@ -69,7 +69,7 @@
         self._rate = rate * USABLE_LINK_RATIO
         self._chunk_bytes = max(MIN_CHUNK_BYTES, int(self._rate * CHUNK_SECONDS))
         self._sizes = ResponseSizes()
-        self._leaving: dict[int, _OutgoingResponse] = {}
+        self._outgoing: dict[int, _OutgoingResponse] = {}
         self._reserved: dict[int, float] = {}
         self._free_at = -math.inf
 
@@ -86,35 +86,35 @@
 
     def add(self, response: int, size: int, credit: int, target: float) -> None:
         """Queue a response of which ``credit`` bytes may be sent for now."""
-        self._leaving[response] = _OutgoingResponse(size, credit, target)
+        self._outgoing[response] = _OutgoingResponse(size, credit, target)
 
     def add_credit(self, response: int, size: int) -> None:
         """Allow ``size`` more bytes of a response to be sent."""
-        leaving = self._leaving.get(response)
-        if leaving is not None:
-            leaving.credit += size
+        outgoing = self._outgoing.get(response)
+        if outgoing is not None:
+            outgoing.credit += size
 
     def remove(self, response: int) -> None:
         """Drop a response that is no longer wanted."""
-        self._leaving.pop(response, None)
+        self._outgoing.pop(response, None)
 
     def next_chunks(self, now: float) -> list[Chunk]:
         """Return the chunks to send now."""
         chunks: list[Chunk] = []
         while self._may_send(now) and (response := self._next_response(now)) is not None:
-            leaving = self._leaving[response]
-            size = min(self._chunk_bytes, leaving.left, leaving.credit)
-            leaving.left -= size
-            leaving.credit -= size
+            outgoing = self._outgoing[response]
+            size = min(self._chunk_bytes, outgoing.left, outgoing.credit)
+            outgoing.left -= size
+            outgoing.credit -= size
             self.record_sent(size, now)
             chunks.append(Chunk(response, size))
-            if not leaving.left:
-                del self._leaving[response]
+            if not outgoing.left:
+                del self._outgoing[response]
         return chunks
 
     def next_send_time(self) -> float | None:
         """Return when the next chunk may be sent, ``None`` if none is waiting."""
-        if not any(leaving.credit for leaving in self._leaving.values()):
+        if not any(outgoing.credit for outgoing in self._outgoing.values()):
             return None
         return self._free_at - AHEAD_SECONDS
 
@@ -124,7 +124,9 @@
     def _next_response(self, now: float) -> int | None:
         """Return the response with the earliest target; those past their target come last."""
         sendable = [
-            (each.target <= now, each.target, n) for n, each in self._leaving.items() if each.credit
+            (each.target <= now, each.target, n)
+            for n, each in self._outgoing.items()
+            if each.credit
         ]
         return min(sendable)[2] if sendable else None
 
@@ -137,9 +139,9 @@
 
     def reserve(self, call: int, group: str) -> None:
         """Reserve link capacity for the response of an admitted call."""
-        usual = self._sizes.usual(group)
-        if self.is_paced(int(usual)):
-            self._reserved[call] = usual
+        size = self._sizes.average(group)
+        if self.is_paced(int(size)):
+            self._reserved[call] = size
 
     def release(self, call: int) -> None:
         """Release the reservation of a call: its response is here, or none will come."""
@@ -149,7 +151,7 @@
         """Return how long the link is busy with queued and expected responses."""
         if not self._rate:
             return 0.0
-        waiting = sum(leaving.left for leaving in self._leaving.values())
+        waiting = sum(outgoing.left for outgoing in self._outgoing.values())
         known = (waiting + sum(self._reserved.values())) / self._rate
         return known + max(0.0, self._free_at - now)
 
@@ -159,11 +161,11 @@
         The backlog drains while the call runs. A call that would be late even on an idle link is
         admitted only if there is no backlog left when it ends.
         """
-        usual = self._sizes.usual(group)
-        if not self.is_paced(int(usual)):
+        size = self._sizes.average(group)
+        if not self.is_paced(int(size)):
             return 0.0
-        alone = now + times.service_time + usual / self._rate
-        held_up = max(0.0, self.backlog_seconds(now) - times.service_time)
-        if alone > times.target:
-            return held_up
-        return max(0.0, alone + held_up - min(times.target, times.deadline))
+        earliest_end = now + times.service_time + size / self._rate
+        backlog_delay = max(0.0, self.backlog_seconds(now) - times.service_time)
+        if earliest_end > times.target:
+            return backlog_delay
+        return max(0.0, earliest_end + backlog_delay - min(times.target, times.deadline))
--- a/src/limelever/agent/response_sender.py
+++ b/src/limelever/agent/response_sender.py
@@ -30,7 +30,6 @@
 MAX_PENDING_BYTES = 16 * 1024 * 1024
 """Maximum total of unsent bytes; responses beyond it are dropped and reported as failed."""
 
-
 UNPACED = 0
 """Pacer key of a response that is not paced."""
 
--- a/src/limelever/agent/response_sizes.py
+++ b/src/limelever/agent/response_sizes.py
@@ -19,12 +19,12 @@
 
     def observe(self, group: str, size: int) -> None:
         """Record the body size of a response, in bytes."""
-        usual = self._by_group.get(group, float(size))
-        self._by_group[group] = usual + SMOOTHING_FACTOR * (size - usual)
+        average = self._by_group.get(group, float(size))
+        self._by_group[group] = average + SMOOTHING_FACTOR * (size - average)
         self._by_group.move_to_end(group)
         if len(self._by_group) > MAX_TRACKED_GROUPS:
             self._by_group.popitem(last=False)
 
-    def usual(self, group: str) -> float:
+    def average(self, group: str) -> float:
         """Return the average size in bytes, 0 if unknown."""
         return self._by_group.get(group, 0.0)
--- a/src/limelever/agent/retry_schedule.py
+++ b/src/limelever/agent/retry_schedule.py
@@ -10,7 +10,7 @@
 """Ratio of the slots on which retries are scheduled."""
 
 MAX_RETRY_SECONDS = 2.0
-"""Maximum retry delay; the duration of longer overloads is not predictable."""
+"""Maximum retry delay, unless the expected wait for a slot is longer."""
 
 MIN_RETRY_SECONDS = 0.1
 """Minimum retry delay."""
--- a/src/limelever/agent/tenant_scheduler.py
+++ b/src/limelever/agent/tenant_scheduler.py
@@ -15,7 +15,7 @@
 from msgspec import Struct, field
 
 BURST_SECONDS = 1.0
-"""Maximum time for which a tenant accumulates unused turns, at its rate.
+"""Maximum credit of an idle tenant, in seconds at its rate.
 
 Allows short bursts of a tenant that stays below its share on average.
 """
@@ -46,7 +46,7 @@
 
 
 class _TenantQueue(Struct):
-    """Waiting calls of a tenant in arrival order; ``tag`` belongs to the oldest."""
+    """Waiting calls of a tenant in arrival order; ``tag`` is the start tag of the oldest."""
 
     tag: float
     calls: OrderedDict[int, None] = field(default_factory=OrderedDict)
@@ -86,7 +86,7 @@
         self.remove(call, tenant)
 
     def remove(self, call: int, tenant: str) -> None:
-        """Remove a call that does not start."""
+        """Remove a call without charging its tenant."""
         queue = self._queues[tenant]
         del queue.calls[call]
         if not queue.calls:
@@ -129,8 +129,8 @@
         """Return how many waiting calls of a tenant have a tag up to ``tag``."""
         if queue.tag > tag:
             return 0
-        turns = math.floor((tag - queue.tag) * self._rates.rate_of(name)) + 1
-        return min(len(queue.calls), turns)
+        started = math.floor((tag - queue.tag) * self._rates.rate_of(name)) + 1
+        return min(len(queue.calls), started)
 
     def _remember_tag(self, tenant: str, tag: float) -> None:
         """Keep the tag of a tenant that has become idle."""
--- a/src/limelever/agent/wait_estimator.py
+++ b/src/limelever/agent/wait_estimator.py
@@ -58,15 +58,16 @@
 class WaitEstimator:
     """Estimates for one backend; all times in seconds.
 
-    Service times are kept while a group is idle, so that infrequent short calls are not judged by
-    the average over all groups.
+    Service times are kept while a group is idle, so that infrequent short calls are not rejected
+    because of the average over all groups.
     """
 
     def __init__(self, slots: int, groups: GroupTable) -> None:
         self._slots = slots
         self._groups = groups
         self._overall = ServiceTimeAverage()
-        self._squared = ServiceTimeAverage()
+        # Product of a call's service time and its group's average, in square seconds.
+        self._second_moment = ServiceTimeAverage()
         self._by_group: OrderedDict[str, ServiceTimeAverage] = OrderedDict()
 
     def observe(self, name: str, seconds: float) -> None:
@@ -74,7 +75,7 @@
         own = self._by_group.setdefault(name, ServiceTimeAverage())
         own.observe(seconds)
         self._overall.observe(seconds)
-        self._squared.observe(seconds * (own.mean or seconds))
+        self._second_moment.observe(seconds * (own.mean or seconds))
         self._by_group.move_to_end(name)
         if len(self._by_group) > MAX_TRACKED_GROUPS:
             self._by_group.popitem(last=False)
@@ -90,7 +91,7 @@
 
         Unlike the average over calls, it is not dominated by many short calls that use few slots.
         """
-        return (self._squared.mean or 0.0) / (self.overall or 1.0)
+        return (self._second_moment.mean or 0.0) / (self.overall or 1.0)
 
     def service_time(self, group: GroupQueue) -> float:
         """Return the average service time of the group; 0 if unknown."""
@@ -101,11 +102,11 @@
         own = self._by_group.get(name)
         return (own.mean if own is not None else None) or self.overall
 
-    def charge(self, group: GroupQueue) -> float:
+    def expected_charge(self, group: GroupQueue) -> float:
         """Return the slot time to charge when a call of the group starts."""
         return max(self.service_time(group) or INITIAL_CHARGE_SECONDS, MIN_CHARGE_SECONDS)
 
-    def wait(
+    def expected_wait(
         self, group: GroupQueue, virtual_time: float, urgent_slots: float = 0.0, tenant: str = ""
     ) -> float:
         """Return how long a new call of a tenant in the group would wait for a slot.
@@ -114,7 +115,7 @@
         until a running call ends. ``urgent_slots`` is the average number of slots held by more
         urgent calls: they are subtracted because such calls overtake this one.
         """
-        tag_step = self.charge(group) / group.weight
+        tag_step = self.expected_charge(group) / group.weight
         ahead = group.tenants.count_ahead(tenant)
         start = max(group.start_tag, virtual_time) + ahead * tag_step
         work = ahead * self.service_time(group)
@@ -126,7 +127,7 @@
 
     def _count_started_before(self, other: GroupQueue, start: float) -> int:
         """Return how many waiting calls of a group have a tag before ``start``."""
-        started = math.ceil((start - other.start_tag) * other.weight / self.charge(other))
+        started = math.ceil((start - other.start_tag) * other.weight / self.expected_charge(other))
         return min(len(other.calls), max(0, started))
 
     def _mean_running_time(self) -> float:
