--- a/features/agent/backend.feature
+++ b/features/agent/backend.feature
@@ -15,15 +15,15 @@
       | /refused   | backend-failed before any byte       |
 
   Scenario: Sequential attempts share a connection
-    When 3 attempts in turn meet a back end that keeps its connections
+    When 3 attempts in turn are sent to a back end that keeps connections open
     Then the agent's client was answered 3 times over 1 connection
 
   Scenario: A pooled connection that the back end closed is not reused
-    When 3 attempts in turn meet a back end that closes after each answer
+    When 3 attempts in turn are sent to a back end that closes after each answer
     Then the agent's client was answered 3 times over 3 connections
 
   Scenario: The number of open connections is limited
-    When 5 attempts at once meet a back end, and the agent may open 2 connections
+    When 5 attempts at once are sent to a back end by an agent limited to 2 connections
     Then the agent's client was answered 5 times over 2 connections
 
   Scenario: A back end receives the time left to the deadline
--- a/features/agent/body_credit.feature
+++ b/features/agent/body_credit.feature
@@ -1,20 +1,20 @@
 Feature: The agent requests bodies in chunks, so that its link stays available for short calls
 
   Scenario Outline: A short call waits for a few chunks at most at any demand for bodies
-    Given bodies with a demand of <part> percent of a link of <rate> bytes a second
+    Given bodies with a demand of <percent> percent of a link of <rate> bytes a second
     When they are sent by credit, the p99 latency of short calls is at most 60 ms
     And they are sent without credit, the p99 latency of short calls is more than 300 ms
 
     Examples:
-      | part | rate   |
-      | 50   | 262500 |
-      | 80   | 262500 |
-      | 95   | 262500 |
-      | 50   | 487500 |
-      | 80   | 487500 |
-      | 95   | 487500 |
+      | percent | rate   |
+      | 50      | 262500 |
+      | 80      | 262500 |
+      | 95      | 262500 |
+      | 50      | 487500 |
+      | 80      | 487500 |
+      | 95      | 487500 |
 
-  Scenario: In any order of events, no more is requested than keeps the link busy
+  Scenario: In any order of arrivals, no more is requested than keeps the link busy
     Then any bodies are requested completely, once, with at most three chunks in flight
 
   Scenario: A stalled sender does not block others
@@ -26,7 +26,7 @@
     When nothing arrives for 0.3 seconds
     Then the credit scheduler sets no timer in the past
 
-  Scenario: Bodies on a link of unknown rate are not paced
+  Scenario: Bodies of usual size are requested at once on a link of unknown rate
     Given a credit scheduler for a link of 0 bytes a second
     And body 1 of 20000 bytes and body 2 of 30000 bytes
     Then both bodies are requested completely
--- a/features/agent/instance_pace.feature
+++ b/features/agent/instance_pace.feature
@@ -40,4 +40,4 @@
   Scenario: Endpoint updates are encoded and decoded consistently
     Then any endpoint update decodes to what was encoded, paces to within 20 permille
     And an update without paces uses no bytes for them
-    And a message with fewer paces than endpoints is decoded as far as they go
+    And in a message with fewer paces than endpoints, the other paces are unknown
--- a/features/agent/response_pacing.feature
+++ b/features/agent/response_pacing.feature
@@ -4,30 +4,30 @@
   # the link rate.
 
   Scenario Outline: Short responses wait for at most two chunks at any demand
-    Given long responses with a demand of <part> percent of a link of <rate> bytes a second
+    Given long responses with a demand of <percent> percent of a link of <rate> bytes a second
     When they are paced, the p99 latency of short responses is at most 50 ms
     And they are not paced, the p99 latency of short responses is more than 300 ms
 
     Examples:
-      | part | rate   |
-      | 80   | 750000 |
-      | 95   | 750000 |
-      | 120  | 750000 |
-      | 80   | 262500 |
-      | 120  | 262500 |
+      | percent | rate   |
+      | 80      | 750000 |
+      | 95      | 750000 |
+      | 120     | 750000 |
+      | 80      | 262500 |
+      | 120     | 262500 |
 
   Scenario Outline: Demand beyond the link rate is refused, and the rest meets its target
-    Given long responses with a demand of <part> percent of a link of 750000 bytes a second
+    Given long responses with a demand of <percent> percent of a link of 750000 bytes a second
     When they are paced, at least <least> percent of the admitted calls meet their target
-    And more of all calls meet it than without pacing, and 80 percent of what the link can carry
+    And more of all calls meet their target than without pacing, and 80 percent of those the link can carry
 
     Examples:
-      | part | least |
-      | 80   | 90    |
-      | 95   | 90    |
-      | 120  | 90    |
+      | percent | least |
+      | 80      | 90    |
+      | 95      | 90    |
+      | 120     | 90    |
 
-  Scenario: In any order of events, each response is sent completely, once, and no faster than the link
+  Scenario: Each response is sent completely, once, and no faster than the link rate
     Then any responses are sent completely, once, with at most two chunks queued on the link
 
   Scenario: The response with the earliest target is sent first, and late ones last
--- a/features/agent/responses.feature
+++ b/features/agent/responses.feature
@@ -3,10 +3,10 @@
   Scenario Outline: A response to another request, or an unconfirmed refusal, is a failure
     Given a back end that answers with <answer>
     When an agent's back-end client sends it a request with the id "one"
-    Then the attempt <ends>
+    Then the attempt <result>
 
     Examples:
-      | answer                              | ends                               |
+      | answer                              | result                             |
       | 200 and the id                      | is answered with 200               |
       | 200 and another id                  | fails as backend-failed, unknown   |
       | 200 and no id                       | fails as backend-failed, unknown   |
@@ -30,17 +30,17 @@
 
   Scenario Outline: Calls are refused by their expected wait
     Given a queue whose slots are busy with calls of 600 ms, and 3 calls of the new call's group waiting
-    Then a call of <service> ms with <target> ms to its target and <deadline> ms to its deadline is <fate>
+    Then a call of <service> ms with <target> ms to its target and <deadline> ms to its deadline is <result>
 
     Examples:
-      | service | target | deadline | fate     |
+      | service | target | deadline | result   |
       | 600     | 900    | 5000     | refused  |
       | 600     | 3000   | 5000     | admitted |
       | 600     | 3000   | 900      | refused  |
       | 50      | 100    | 1000     | admitted |
       | 50      | 100    | 150      | refused  |
 
-  Scenario: Short calls of one route are not judged by the long calls of another
+  Scenario: Service times are estimated separately for each route
     Given a queue whose slots are busy with calls of 880 ms on route long, with 4 more waiting, after short calls of 55 ms
     When a call on route short with 200 ms to its target and 600 ms to its deadline is offered
     Then it is queued, and starts before the calls of route long
@@ -62,10 +62,10 @@
 
   Scenario Outline: Response parsing decides on completeness and connection reuse
     When a back end answers a <method> with <bytes>
-    Then the response <is>, and its connection <goes on>
+    Then the response <result>, and its connection <reuse>
 
     Examples:
-      | method | bytes                                       | is            | goes on        |
+      | method | bytes                                       | result        | reuse          |
       | GET    | a length and the body                       | is complete   | is reusable    |
       | GET    | chunks                                      | is complete   | is reusable    |
       | GET    | chunks with a trailer field                 | is complete   | is reusable    |
@@ -108,7 +108,7 @@
     When 100 calls with 400 ms to their target arrive at once
     Then 12 of them run, 6 wait and 82 were refused with a retry time
     When the first of them ends after 200 ms
-    Then a call with 400 ms to its target is refused by the estimate from that
+    Then a call with 400 ms to its target is refused for its expected wait
 
   Scenario: Calls without a target wait while the service time is unknown
     Given a new queue of 12 slots
--- a/features/steps/agent_backend_steps.py
+++ b/features/steps/agent_backend_steps.py
@@ -107,25 +107,23 @@
         await stream.aclose()
 
 
-async def send_repeatedly(server: KeepAliveServer, count: int, at_once: int, allowed: int) -> int:
+async def send_repeatedly(server: KeepAliveServer, count: int, at_once: int, limit: int) -> int:
     answers = 0
-    room = trio.Semaphore(at_once)
+    free = trio.Semaphore(at_once)
 
     def post(event: Event) -> None:
         nonlocal answers
         assert isinstance(event, AttemptAnswered), event
         answers += 1
-        room.release()
+        free.release()
 
     async with trio.open_nursery() as nursery:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = Address("127.0.0.1", listener.socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, server.serve, [listener])
-        backend = BackendClient(
-            BackendSettings(address=address, connections=allowed), nursery, post
-        )
+        backend = BackendClient(BackendSettings(address=address, connections=limit), nursery, post)
         for number in range(count):
-            await room.acquire()
+            await free.acquire()
             await trio.sleep(0.02 if at_once == 1 else 0.0)
             backend.start(StartAttempt(number, "orders", b"GET", b"/ok", (), b"", 10.0))
         while answers < count:
@@ -135,22 +133,24 @@
     return answers
 
 
-@when("{count:d} attempts in turn meet a back end that keeps its connections")
+@when("{count:d} attempts in turn are sent to a back end that keeps connections open")
 def send_with_keep_alive(context: Context, count: int) -> None:
     context.server = KeepAliveServer(requests_each=100)
     context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
-@when("{count:d} attempts in turn meet a back end that closes after each answer")
+@when("{count:d} attempts in turn are sent to a back end that closes after each answer")
 def send_with_close(context: Context, count: int) -> None:
     context.server = KeepAliveServer(requests_each=1)
     context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
-@when("{count:d} attempts at once meet a back end, and the agent may open {allowed:d} connections")
-def send_concurrently(context: Context, count: int, allowed: int) -> None:
+@when(
+    "{count:d} attempts at once are sent to a back end by an agent limited to {limit:d} connections"
+)
+def send_concurrently(context: Context, count: int, limit: int) -> None:
     context.server = KeepAliveServer(requests_each=100)
-    context.answers = trio.run(send_repeatedly, context.server, count, count, allowed)
+    context.answers = trio.run(send_repeatedly, context.server, count, count, limit)
 
 
 @then("the agent's client was answered {count:d} times over {connections:d} connection")
--- a/features/steps/agent_response_steps.py
+++ b/features/steps/agent_response_steps.py
@@ -129,46 +129,46 @@
 
 
 @given(
-    "a queue whose slots are busy with calls of {usual:d} ms, and {waiting:d} calls of the new "
+    "a queue whose slots are busy with calls of {service:d} ms, and {waiting:d} calls of the new "
     "call's group waiting"
 )
-def given_queue(context, usual, waiting):
+def given_queue(context, service, waiting):
     context.groups = GroupTable(1, 32)
     context.estimate = WaitEstimator(SLOTS, context.groups)
     context.waiting = waiting
     common = context.groups.open("common", 0.0)
-    context.usual = usual / 1000.0
+    context.service_time = service / 1000.0
     common.running = SLOTS
 
 
 @then(
     "a call of {service:d} ms with {target:d} ms to its target and {deadline:d} ms to its "
-    "deadline is {fate}"
+    "deadline is {result}"
 )
-def then_admission(context, service, target, deadline, fate):
+def then_admission(context, service, target, deadline, result):
     group: GroupQueue = context.groups.open("asked", 0.0)
     for number in range(context.waiting):
         group.append(QueuedCall(number, "asked", math.inf, 0, 0.0))
     for _ in range(50):
         context.estimate.observe("asked", service / 1000.0)
     for _ in range(50):
-        context.estimate.observe("common", context.usual)
+        context.estimate.observe("common", context.service_time)
     call = QueuedCall(99, "asked", deadline / 1000.0, 0, 0.0, target / 1000.0)
     wait = context.estimate.expected_wait(group, 0.0)
     refused = context.estimate.exceeds_wait_limit(group, call, 0.0, wait)
-    assert refused is (fate == "refused"), wait
+    assert refused is (result == "refused"), wait
 
 
 @given(
-    "a queue whose slots are busy with calls of {usual:d} ms on route long, with {waiting:d} "
+    "a queue whose slots are busy with calls of {service:d} ms on route long, with {waiting:d} "
     "more waiting, after short calls of {short:d} ms"
 )
-def given_two_routes(context, usual, waiting, short):
+def given_two_routes(context, service, waiting, short):
     queue = context.queue = FairQueue(QueueLimits(slots=SLOTS))
     context.long, context.short = priority_group(2, "long"), priority_group(2, "short")
     now = 0.0
     for number in range(50):
-        for group, milliseconds in ((context.long, usual), (context.short, short)):
+        for group, milliseconds in ((context.long, service), (context.short, short)):
             call = number * 2 + (group == context.short)
             queue.offer(QueuedCall(call, group, math.inf, 0, now), now)
             assert queue.start_next(now) is not None
@@ -201,16 +201,16 @@
 
 
 @given(
-    "calls of {short:d} ms on one route and of {long:d} ms on another, {part:d} percent on the "
+    "calls of {short:d} ms on one route and of {long:d} ms on another, {percent:d} percent on the "
     "first"
 )
-def given_mixed_calls(context, short, long, part):
+def given_mixed_calls(context, short, long, percent):
     context.estimate = WaitEstimator(SLOTS, GroupTable(1, 32))
-    taken = 0.0
+    short_due = 0.0
     for _ in range(300):
-        taken += part / 100
-        is_short = taken >= 1
-        taken -= is_short
+        short_due += percent / 100
+        is_short = short_due >= 1
+        short_due -= is_short
         name, service = ("short", short) if is_short else ("long", long)
         context.estimate.observe(name, service / 1000)
 
@@ -219,7 +219,7 @@
     "a call of {service:d} ms that waits {wait:d} ms is admitted with {target:d} ms to its "
     "target and {deadline:d} to its deadline"
 )
-def then_short_taken(context, service, wait, target, deadline):
+def then_short_admitted(context, service, wait, target, deadline):
     group = GroupQueue("short", 1)
     call = QueuedCall(1, "short", deadline / 1000, 0, 0.0, target / 1000)
     assert not context.estimate.exceeds_wait_limit(group, call, 0.0, wait / 1000), (
@@ -281,8 +281,8 @@
 def then_start_within(context, most):
     waits = sorted(context.load.waits[len(context.load.waits) // 2 :])
     assert len(waits) > 50, waits
-    late = waits[len(waits) * 9 // 10]
-    assert late * 1000 <= most, late
+    p90 = waits[len(waits) * 9 // 10]
+    assert p90 * 1000 <= most, p90
 
 
 @given("a queue of {slots:d} slots that is full of calls of {service:d} ms")
@@ -379,8 +379,8 @@
     context.queue.finish(0, context.now, representative=True)
 
 
-@then("a call with {target:d} ms to its target is refused by the estimate from that")
-def then_judged(context, target):
+@then("a call with {target:d} ms to its target is refused for its expected wait")
+def then_refused_for_wait(context, target):
     now = context.now
     call = QueuedCall(999, "all", now + 5.0, 0, now, now + target / 1000.0)
     offered = context.queue.offer(call, now)
@@ -388,14 +388,14 @@
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
-WHOLE = OK + b"content-length: 2\r\n\r\nok"
+COMPLETE = OK + b"content-length: 2\r\n\r\nok"
 CHUNKS = OK + b"transfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n"
 RAW_RESPONSES = {
-    "a length and the body": WHOLE,
+    "a length and the body": COMPLETE,
     "chunks": CHUNKS + b"0\r\n\r\n",
     "chunks with a trailer field": CHUNKS + b"0\r\nx-behind: 9\r\n\r\n",
-    "a length, the body and more": WHOLE + b"more",
-    "a complete response twice": WHOLE + WHOLE,
+    "a length, the body and more": COMPLETE + b"more",
+    "a complete response twice": COMPLETE + COMPLETE,
     "a length, the body and connection close": OK
     + b"connection: close\r\ncontent-length: 2\r\n\r\nok",
     "the version 1.0": b"HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nok",
@@ -408,7 +408,7 @@
     "an unknown transfer coding": OK + b"transfer-encoding: gzip\r\n\r\nok",
     "bytes that are not HTTP": b"\x00\x01\x02 nothing",
     "a protocol upgrade": b"HTTP/1.1 101 Ok\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n",
-    "100 Continue and then the response": b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE,
+    "100 Continue and then the response": b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE,
     "no content": b"HTTP/1.1 204 Nothing\r\n\r\n",
     "a length and no body": OK + b"content-length: 2\r\n\r\n",
 }
@@ -426,18 +426,18 @@
         context.parser.handle_error("reset")
 
 
-@then("the response {is_complete}, and its connection {reuse}")
-def then_parsed(context, is_complete, reuse):
+@then("the response {result}, and its connection {reuse}")
+def then_parsed(context, result, reuse):
     parser = context.parser
-    assert (parser.response is not None) is (is_complete == "is complete"), parser.failure
-    assert (parser.failure is None) is (is_complete == "is complete"), parser.failure
+    assert (parser.response is not None) is (result == "is complete"), parser.failure
+    assert (parser.failure is None) is (result == "is complete"), parser.failure
     assert parser.reusable is (reuse == "is reusable")
     if parser.response is not None:
         assert parser.response.body in (b"ok", b""), parser.response
 
 
 async def answer_before_reading(stream):
-    await stream.send_all(WHOLE.replace(b"\r\n\r\n", b"\r\nx-id: one\r\n\r\n"))
+    await stream.send_all(COMPLETE.replace(b"\r\n\r\n", b"\r\nx-id: one\r\n\r\n"))
     await trio.sleep_forever()
 
 
--- a/features/steps/body_credit_steps.py
+++ b/features/steps/body_credit_steps.py
@@ -19,9 +19,9 @@
 CHUNK_BYTES = 4200
 
 
-@given("bodies with a demand of {part:d} percent of a link of {rate:d} bytes a second")
-def given_load(context: Context, part: int, rate: int) -> None:
-    context.load = LinkLoad(rate=rate, used_by_bodies=part / 100)
+@given("bodies with a demand of {percent:d} percent of a link of {rate:d} bytes a second")
+def given_load(context: Context, percent: int, rate: int) -> None:
+    context.load = LinkLoad(rate=rate, used_by_bodies=percent / 100)
 
 
 def short_p99(context: Context, sending: Sending) -> float:
--- a/features/steps/instance_pace_steps.py
+++ b/features/steps/instance_pace_steps.py
@@ -117,7 +117,7 @@
     assert update == LoadUpdate(zone="zone", endpoints=[7], loads=b"\x03")
 
 
-@then("a message with fewer paces than endpoints is decoded as far as they go")
+@then("in a message with fewer paces than endpoints, the other paces are unknown")
 def fewer_paces(context: Context) -> None:
     update = LoadUpdate(zone="zone", endpoints=[7, 8], loads=b"\x03\x04", paces=b"\x32")
     read = [each.news for each in unpack(update)]
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -19,16 +19,16 @@
 
 
 @given('a proxy of the zone of "{zone_of}" at "{relay}"')
-def given_far_proxy(context: Context, zone_of: str, relay: str) -> None:
+def given_proxy_of_zone(context: Context, zone_of: str, relay: str) -> None:
     start_proxy(context, "far", relay, zone=ZONES[zone_of])
 
 
 @given('the agent "{name}" has a link to "{relay}" and no lease')
-def given_stranger(context: Context, name: str, relay: str) -> None:
-    stranger = agent(context, name)
-    stranger.connection = next(stranger.connections)
+def given_unregistered(context: Context, name: str, relay: str) -> None:
+    unregistered = agent(context, name)
+    unregistered.connection = next(unregistered.connections)
     address = context.mesh.network.address(relay)
-    dial = OpenConnection(stranger.connection, address, Purpose.REGISTRATION)
+    dial = OpenConnection(unregistered.connection, address, Purpose.REGISTRATION)
     context.mesh.network.carry_out(name, [dial])
     context.mesh.network.run(0.01)
 
@@ -41,9 +41,9 @@
     context.mesh.network.run(0.005)
 
 
-@then('the proxies "{names}" have heard the loads "{loads}" of "{instance}"')
-@then('the proxies "{names}" have heard the loads "" of "{instance}"')
-def heard_loads(context: Context, names: str, instance: str, loads: str = "") -> None:
+@then('the proxies "{names}" have received the loads "{loads}" of "{instance}"')
+@then('the proxies "{names}" have received the loads "" of "{instance}"')
+def check_loads(context: Context, names: str, instance: str, loads: str = "") -> None:
     number = endpoint_hash(SERVICE, instance)
     for name in names.split(", "):
         received = context.mesh.network.nodes[name].received
@@ -66,8 +66,8 @@
     assert reports == numbers(loads), reports
 
 
-@when('the proxy "{name}" leaves')
-def proxy_leaves(context: Context, name: str) -> None:
+@when('the proxy "{name}" stops')
+def proxy_stops(context: Context, name: str) -> None:
     context.mesh.network.kill(name)
 
 
@@ -76,11 +76,11 @@
     return [load for each in received if isinstance(each, LoadUpdate) for load in each.loads]
 
 
-@then('"{relay}" has heard no loads from "{other}"')
-def heard_none(context: Context, relay: str, other: str) -> None:
+@then('"{relay}" has received no loads from "{other}"')
+def check_no_loads(context: Context, relay: str, other: str) -> None:
     assert received_loads_of(context, relay) == []
 
 
-@then('"{relay}" has heard the loads "{loads}" from "{other}"')
-def heard_from(context: Context, relay: str, loads: str, other: str) -> None:
+@then('"{relay}" has received the loads "{loads}" from "{other}"')
+def check_loads_from(context: Context, relay: str, loads: str, other: str) -> None:
     assert received_loads_of(context, relay) == numbers(loads)
--- a/features/steps/response_pacing_steps.py
+++ b/features/steps/response_pacing_steps.py
@@ -30,9 +30,9 @@
 MIN_GOODPUT = 0.8
 
 
-@given("long responses with a demand of {part:d} percent of a link of {rate:d} bytes a second")
-def given_load(context: Context, part: int, rate: int) -> None:
-    context.load = AnswerLoad(rate=rate, asked=part / 100)
+@given("long responses with a demand of {percent:d} percent of a link of {rate:d} bytes a second")
+def given_load(context: Context, percent: int, rate: int) -> None:
+    context.load = AnswerLoad(rate=rate, asked=percent / 100)
 
 
 def simulate(context: Context, leaving: Leaving) -> AnswerOutcome:
@@ -57,7 +57,10 @@
     assert outcome.in_target >= least / 100 * (1 - outcome.refused), outcome
 
 
-@when("more of all calls meet it than without pacing, and 80 percent of what the link can carry")
+@when(
+    "more of all calls meet their target than without pacing, and 80 percent of those the link "
+    "can carry"
+)
 def more_in_target(context: Context) -> None:
     paced = simulate(context, Leaving.PACED).in_target
     assert paced >= MIN_GOODPUT * min(1.0, 1.0 / context.load.asked), paced
