--- a/src/limelever/agent/fair_queue.py
+++ b/src/limelever/agent/fair_queue.py
@@ -294,9 +294,7 @@
         number = group.tenants.eviction_candidate(tenant) if self._is_full(group) else None
         if number is None:
             return ()
-        failure = self._share_exceeded(
-            group, "evicted in favour of a tenant with fewer waiting calls", now
-        )
+        failure = self._share_exceeded(group, "evicted in favour of a tenant below its share", now)
         self._forget_queued(group.calls[number])
         group.remove(number)
         return (Eviction(number, failure),)
