--- a/features/steps/distribution_harness.py
+++ b/features/steps/distribution_harness.py
@@ -35,7 +35,7 @@
 from limelever.publisher.settings import PublisherSettings
 from limelever.quarantine.crash_history import CrashHistory
 from limelever.relay.core import RelayCore, RelayOptions
-from limelever.relay.endpoints import EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointsSettings
 from limelever.subscriber.core import SubscriberCore
 from limelever.subscriber.notices import (
     ConfigurationInstalled,
--- a/features/steps/limits_fleet.py
+++ b/features/steps/limits_fleet.py
@@ -20,7 +20,7 @@
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.proxy.tenants import TenantEntry
-from limelever.relay.limit_board import LimitBoard
+from limelever.relay.limit_coordinator import LimitBoard
 
 STEP = 0.01
 """Seconds between two looks at timers; calls come at any time in between."""
--- a/features/steps/limits_ways.py
+++ b/features/steps/limits_ways.py
@@ -17,7 +17,7 @@
 from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
-from limelever.relay.limit_board import LimitBoard
+from limelever.relay.limit_coordinator import LimitBoard
 
 
 class FractionGate(TenantLimiter):
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -27,7 +27,7 @@
 from limelever.protocol.keys import rollout_key
 from limelever.proxy.endpoints import EndpointEntry, EndpointKey
 from limelever.proxy.version_gate import VersionGate
-from limelever.relay.tally_board import TallyBoard
+from limelever.relay.tally_store import TallyBoard
 from limelever.rollout.canary_analysis import Finding, Verdict, analyze
 from limelever.rollout.progression import (
     ALL_PERMILLE,
--- a/src/limelever/relay/core.py
+++ b/src/limelever/relay/core.py
@@ -37,7 +37,7 @@
 from limelever.publisher.notices import FreshnessNeeded, SubscriberAdmitted
 from limelever.publisher.rollout import ZoneHolders
 from limelever.publisher.settings import PublisherSettings
-from limelever.relay.endpoints import Endpoints, EndpointsSettings
+from limelever.relay.endpoint_exchange import Endpoints, EndpointsSettings
 from limelever.relay.interface import PlatformListRead, RelayReady, RelaysKnown, StopRequested
 from limelever.relay.limit_exchange import LimitExchange
 from limelever.relay.rollout_reporter import RolloutReporter
--- a/src/limelever/relay/endpoints.py
+++ b/src/limelever/relay/endpoint_exchange.py
@@ -32,15 +32,15 @@
 from limelever.publisher.batching import BatchTimer
 from limelever.publisher.scope import Scope
 from limelever.relay import events
-from limelever.relay.crash_board import CrashBoard
+from limelever.relay.crash_broadcast import CrashBoard
 from limelever.relay.endpoint_entry import EndpointName
 from limelever.relay.endpoint_feed import EndpointFeed
 from limelever.relay.endpoint_sync import EndpointSyncServer
 from limelever.relay.endpoint_table import EndpointTable, TableSettings
 from limelever.relay.leases import Leases
-from limelever.relay.load_board import LoadBoard
+from limelever.relay.load_broadcast import LoadBoard
 from limelever.relay.peer_relay import PeerRelay
-from limelever.relay.tally_board import TallyBoard
+from limelever.relay.tally_store import TallyBoard
 
 
 class EndpointsSettings(Struct, frozen=True):
--- a/src/limelever/relay/endpoint_table.py
+++ b/src/limelever/relay/endpoint_table.py
@@ -28,7 +28,7 @@
     held_back,
     is_visible_change,
 )
-from limelever.relay.expiry import Expiry
+from limelever.relay.expiry_queue import Expiry
 
 
 class TableSettings(Struct, frozen=True):
--- a/src/limelever/relay/limit_board.py
+++ b/src/limelever/relay/limit_coordinator.py
@@ -20,8 +20,8 @@
 from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.relay import events
-from limelever.relay.use_of_relays import UseOfRelays
-from limelever.relay.use_to_tell import UseToTell
+from limelever.relay.pending_usage import UseToTell
+from limelever.relay.remote_usage import UseOfRelays
 
 NEWS_INTERVAL = 0.1
 """Seconds between two batches of sums or news."""
--- a/src/limelever/relay/limit_exchange.py
+++ b/src/limelever/relay/limit_exchange.py
@@ -11,7 +11,7 @@
 from limelever.limits.tenant_hash import tenant_hash
 from limelever.protocol.config_pb2 import RESOURCE_KIND_TENANT, VersionedResource
 from limelever.protocol.limits_pb2 import TenantUse
-from limelever.relay.limit_board import LimitBoard
+from limelever.relay.limit_coordinator import LimitBoard
 from limelever.subscriber.notices import ConfigurationInstalled
 
 
--- a/src/limelever/relay/process.py
+++ b/src/limelever/relay/process.py
@@ -15,8 +15,8 @@
 from limelever.common.settings import seconds
 from limelever.publisher.settings import PublisherSettings
 from limelever.relay.core import RelayCore, RelayOptions
+from limelever.relay.endpoint_exchange import EndpointsSettings
 from limelever.relay.endpoint_table import TableSettings
-from limelever.relay.endpoints import EndpointsSettings
 from limelever.relay.interface import PlatformListRead, RelayReady, StopRequested
 from limelever.relay.sealing import SnapshotSealer
 from limelever.relay.settings import RelaySettings
--- a/src/limelever_lab/simulator/reader_nodes.py
+++ b/src/limelever_lab/simulator/reader_nodes.py
@@ -15,7 +15,7 @@
 from limelever.proxy.core import ProxyCore, ProxyCoreSettings
 from limelever.publisher.settings import PublisherSettings
 from limelever.relay.core import RelayCore, RelayOptions
-from limelever.relay.endpoints import EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointsSettings
 from limelever.relay.sealing import KEY_BYTES, SnapshotSealer
 from limelever.subscriber.settings import SubscriberSettings
 from limelever_lab.simulator.deployments import SimulatedDeployment
