--- a/features/rollout/rollout.feature
+++ b/features/rollout/rollout.feature
@@ -65,10 +65,10 @@
     Then ended calls are not counted
 
   Scenario: Relays keep the newest tally of each agent, and forward those of their own agents
-    Given a relay's tally board with another relay subscribed
+    Given a relay's tally store with another relay subscribed
     When an agent sends tallies of 5 calls, then of 3, then of 8
     Then the other relay received tallies of 5 and 8 calls
-    And the board holds 8 calls for the rollout and none for another
+    And the store holds 8 calls for the rollout and none for another
 
   Scenario: A suspect version is rolled back at the deadline, and a bad one at once
     Given a rollout of 16 seconds at a service with 40 back ends
--- a/features/steps/distribution_harness.py
+++ b/features/steps/distribution_harness.py
@@ -35,7 +35,7 @@
 from limelever.publisher.settings import PublisherSettings
 from limelever.quarantine.crash_history import CrashHistory
 from limelever.relay.core import RelayCore, RelayOptions
-from limelever.relay.endpoint_exchange import EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointExchangeSettings
 from limelever.subscriber.core import SubscriberCore
 from limelever.subscriber.notices import (
     ConfigurationInstalled,
@@ -396,7 +396,7 @@
                 admission_rate=admission_burst / 2 or 0.001,
                 admission_burst=admission_burst,
             ),
-            endpoints=EndpointsSettings(
+            endpoints=EndpointExchangeSettings(
                 peers=tuple(self.network.address(peer) for peer in peers), **endpoints
             ),
             address=self.network.address(name),
--- a/features/steps/limits_fleet.py
+++ b/features/steps/limits_fleet.py
@@ -20,7 +20,7 @@
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.proxy.tenants import TenantEntry
-from limelever.relay.limit_coordinator import LimitBoard
+from limelever.relay.limit_coordinator import LimitCoordinator
 
 STEP = 0.01
 """Seconds between two looks at timers; calls come at any time in between."""
@@ -33,7 +33,7 @@
 class Relay:
     name: str
     zone: str
-    board: LimitBoard
+    coordinator: LimitCoordinator
     down: bool = False
 
 
@@ -100,7 +100,7 @@
         proxies: int = 60,
         over_usual: float = 1.6,
         make: Callable[[LimitRules, random.Random], TenantLimits] = TenantLimits,
-        make_board: Callable[[LimitRules], LimitBoard] = LimitBoard,
+        make_coordinator: Callable[[LimitRules], LimitCoordinator] = LimitCoordinator,
     ) -> None:
         self.random = random.Random(seed)
         self.rules = LimitRules()
@@ -109,7 +109,7 @@
         self.cuts: set[frozenset[str]] = set()
         self.traffic = Traffic()
         self.logs: list[int] = []
-        self._make, self._make_board = make, make_board
+        self._make, self._make_coordinator = make, make_coordinator
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._arrives: dict[tuple[str, str], float] = {}
@@ -118,7 +118,7 @@
             for name, usual in tenants.items()
         }
         self.relays = [
-            Relay(f"relay-{number}", zone, make_board(self.rules))
+            Relay(f"relay-{number}", zone, make_coordinator(self.rules))
             for number, zone in enumerate(RELAY_ZONES)
         ]
         self.proxies = [
@@ -149,13 +149,13 @@
 
     def kill_relay(self, relay: Relay) -> None:
         relay.down = True
-        relay.board = self._make_board(self.rules)
+        relay.coordinator = self._make_coordinator(self.rules)
         for proxy in self.proxies:
             if proxy.relay is relay:
                 self._leave(proxy, 0.05 + self.random.random())
         for other in self.relays:
-            other.board.relay_lost(relay.name)
-            other.board.leave(self._link(relay, other))
+            other.coordinator.relay_disconnected(relay.name)
+            other.coordinator.remove(self._link(relay, other))
 
     def start_relay(self, relay: Relay) -> None:
         relay.down = False
@@ -178,7 +178,7 @@
         cuts, self.cuts = self.cuts, set()
         for one, other in itertools.permutations(self.relays, 2):
             if frozenset((one.name, other.name)) in cuts and not (one.down or other.down):
-                one.board.relay_lost(other.name)
+                one.coordinator.relay_disconnected(other.name)
                 self._relays_join(one, other)
         for proxy in self.proxies:
             if proxy.relay is not None and frozenset((proxy.name, proxy.relay.name)) in cuts:
@@ -211,7 +211,7 @@
             for name, each in self.tenants.items()
             if each.entry.rate
         }
-        relay.board.set_limits(limits, self.now + self.random.random() * 0.1)
+        relay.coordinator.set_limits(limits, self.now + self.random.random() * 0.1)
 
     def _configure_proxy(self, proxy: Proxy) -> None:
         proxy.limits.set_tenants({name: each.entry for name, each in self.tenants.items()})
@@ -222,12 +222,12 @@
 
     def _leave(self, proxy: Proxy, pause: float) -> None:
         if proxy.relay is not None:
-            proxy.relay.board.leave(self._link(proxy, proxy.relay))
+            proxy.relay.coordinator.remove(self._link(proxy, proxy.relay))
         proxy.relay = None
         proxy.joins_at = self.now + pause
 
     def _relays_join(self, listener: Relay, teller: Relay) -> None:
-        outputs = teller.board.join_relay(self._link(listener, teller), self.now)
+        outputs = teller.coordinator.add_relay(self._link(listener, teller), self.now)
         self._carry(teller, outputs)
 
     def _proxy_turn(self, proxy: Proxy) -> None:
@@ -247,7 +247,7 @@
             proxy.joins_at = self.now + 0.4
             return
         relay = proxy.relay = self.random.choice(self._near(proxy, usable))
-        relay.board.join(self._link(proxy, relay), proxy.name)
+        relay.coordinator.add_proxy(self._link(proxy, relay), proxy.name)
         use = proxy.limits.joined(self.now)
         if use is not None:
             self._send_up(proxy, relay, use)
@@ -260,13 +260,17 @@
 
         def arrive() -> None:
             if not relay.down:
-                relay.board.from_proxy(link, use, self.now)
+                relay.coordinator.handle_proxy_report(link, use, self.now)
 
         self._send(proxy, relay, use.ByteSize(), arrive)
 
     def _relay_turn(self, relay: Relay) -> None:
-        if not relay.down and relay.board.next_at is not None and self.now >= relay.board.next_at:
-            self._carry(relay, relay.board.on_deadline(self.now))
+        if (
+            not relay.down
+            and relay.coordinator.next_at is not None
+            and self.now >= relay.coordinator.next_at
+        ):
+            self._carry(relay, relay.coordinator.on_deadline(self.now))
 
     def _carry(self, relay: Relay, outputs: list) -> None:
         self.logs.extend(each.code for each in outputs if isinstance(each, LogEvent))
@@ -295,11 +299,11 @@
                 self._send(relay, other, use.ByteSize(), self._hear(other, relay, use))
 
     def _hear(self, other: Relay, relay: Relay, use: TenantUse) -> Callable[[], None]:
-        board = other.board
+        coordinator = other.coordinator
 
         def arrive() -> None:
-            if not relay.down and other.board is board:
-                board.from_relay(relay.name, use, self.now)
+            if not relay.down and other.coordinator is coordinator:
+                coordinator.handle_relay_report(relay.name, use, self.now)
 
         return arrive
 
--- a/features/steps/limits_ways.py
+++ b/features/steps/limits_ways.py
@@ -1,7 +1,7 @@
 """Other ways to keep limits over a fleet, to compare on the same load and seeds.
 
-``FractionBoard`` plans by what is asked alone, without a window. ``LeaseBoard`` leases rates to
-proxies, which sum to no more than the limit whatever is lost.
+``FractionCoordinator`` plans by what is asked alone, without a window. ``LeaseCoordinator`` leases
+rates to proxies, which sum to no more than the limit whatever is lost.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
-from limelever.relay.limit_coordinator import LimitBoard
+from limelever.relay.limit_coordinator import LimitCoordinator
 
 
 class FractionGate(TenantLimiter):
@@ -35,11 +35,11 @@
                 self._gates[number] = FractionGate(gate.limit, self._rules, self._random)
 
 
-class FractionBoard(LimitBoard):
-    def _plan(self, now: float) -> LimitNews:
-        news = LimitNews(proxies=self._in_touch.fleet_size)
+class FractionCoordinator(LimitCoordinator):
+    def _plan_update(self, now: float) -> LimitNews:
+        news = LimitNews(proxies=self._reachable_proxies.fleet_size)
         for tenant, limit in self._limits.items():
-            parts = self._others.with_own(tenant, self._own.get(tenant))
+            parts = self._remote_usage.with_local(tenant, self._local_usage.get(tenant))
             asked = sum(use.request_rate(now) for use in parts)
             allowed = self._rules.target_calls(limit) / self._rules.window
             if asked > allowed:
@@ -83,7 +83,7 @@
             self._rates[number] = (rate / 1000, now + LEASE)
 
 
-class LeaseBoard(LimitBoard):
+class LeaseCoordinator(LimitCoordinator):
     """Leases out each limit's rate by what proxies ask for; a lease that was told counts until it
     has run out."""
 
@@ -93,14 +93,14 @@
         self._leases: dict[int, dict[str, list[tuple[float, float]]]] = {}
         self._begun_at: float | None = None
 
-    def join_relay(self, relay, now):
+    def add_relay(self, relay, now):
         return []
 
-    def from_proxy(self, connection, use: TenantUse, now: float) -> None:
+    def handle_proxy_report(self, connection, use: TenantUse, now: float) -> None:
         name = self._proxies.get(connection)
         if name is None:
             return
-        for told in self._news_in(f"proxy {name}", use, now):
+        for told in self._uncounted_calls(f"proxy {name}", use, now):
             by_name = self._asked.setdefault(told.tenant, {})
             window = by_name.setdefault(name, UsageWindow(self._rules.window))
             window.add(told.at, told.admitted, told.refused)
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -11,7 +11,13 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from limits_fleet import LimitsFleet, Tenant, Traffic, power_law
-from limits_ways import FractionBoard, FractionLimits, LeaseBoard, LeaseFleet, LeaseLimits
+from limits_ways import (
+    FractionCoordinator,
+    FractionLimits,
+    LeaseCoordinator,
+    LeaseFleet,
+    LeaseLimits,
+)
 
 from limelever.limits.rules import Limit
 from limelever.relay.events import LIMITS_PARTED, LIMITS_WHOLE
@@ -35,7 +41,9 @@
 @given("60 proxies and 5 relays that go by the part of what is asked alone")
 def given_fraction_fleet(context: Context) -> None:
     tenants = power_law(6, TOTAL)
-    context.fleet = LimitsFleet(1, tenants, make=FractionLimits, make_board=FractionBoard)
+    context.fleet = LimitsFleet(
+        1, tenants, make=FractionLimits, make_coordinator=FractionCoordinator
+    )
 
 
 @given("the fleet of limits is drawn from seed {seed:d}")
@@ -46,7 +54,7 @@
 @given("60 proxies and 5 relays that lease out rates")
 def given_lease_fleet(context: Context) -> None:
     tenants = power_law(6, TOTAL)
-    context.fleet = LeaseFleet(1, tenants, make=LeaseLimits, make_board=LeaseBoard)
+    context.fleet = LeaseFleet(1, tenants, make=LeaseLimits, make_coordinator=LeaseCoordinator)
 
 
 @when("{seconds:g} seconds pass in the fleet of limits")
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -20,7 +20,7 @@
     LeaseLost,
     Register,
 )
-from limelever.relay.endpoint_entry import OWN, EndpointName
+from limelever.relay.endpoint_entry import LOCAL_ORIGIN, EndpointName
 from limelever.relay.endpoint_table import EndpointTable, TableSettings
 from limelever.relay.interface import PlatformListRead, StopRequested
 from limelever.relay.platform_list import parse_machines
@@ -390,11 +390,11 @@
 def step_reported_once(context):
     reporter = RolloutReporter(1.0)
     report = RolloutReport(entries=[RolloutEntry(zone="zone-a", version=1, holders=2)])
-    assert reporter.changed(report, 1) == report
-    assert reporter.changed(report, 1) is None
-    assert reporter.changed(report, 3) == report
-    assert reporter.changed(report, 3) is None
-    assert reporter.changed(RolloutReport(), 3) == RolloutReport()
+    assert reporter.report_if_changed(report, 1) == report
+    assert reporter.report_if_changed(report, 1) is None
+    assert reporter.report_if_changed(report, 3) == report
+    assert reporter.report_if_changed(report, 3) is None
+    assert reporter.report_if_changed(RolloutReport(), 3) == RolloutReport()
 
 
 @then("the source has {count:d} subscribers")
@@ -421,7 +421,7 @@
     for incarnation, sequence, state in told:
         endpoint = Endpoint(service="orders", instance="one")
         endpoint.incarnation, endpoint.sequence, endpoint.state = incarnation, sequence, state
-        table.offer(endpoint, "relay-1", None, 0.0)
+        table.merge(endpoint, "relay-1", None, 0.0)
     found = table.get(EndpointName("orders", "one")).endpoint
     return (found.incarnation, found.sequence, found.state)
 
@@ -447,10 +447,10 @@
     table = EndpointTable(TableSettings(tombstone=10.0))
     endpoint = Endpoint(service="orders", instance="one", incarnation=1, sequence=1)
     endpoint.state = ENDPOINT_STATE_READY
-    table.offer(endpoint, OWN, 5.0, 0.0)
-    heard = table.own_changes
+    table.merge(endpoint, LOCAL_ORIGIN, 5.0, 0.0)
+    heard = table.last_local_change
     table.expire(6.0)
-    assert [e.state for e in table.own_since(heard)] == [ENDPOINT_STATE_GONE]
+    assert [e.state for e in table.local_changes_since(heard)] == [ENDPOINT_STATE_GONE]
     table.expire(20.0)
-    assert table.own_since(heard) is None
-    assert table.own_since(table.own_changes) == []
+    assert table.local_changes_since(heard) is None
+    assert table.local_changes_since(table.last_local_change) == []
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -27,7 +27,7 @@
 from limelever.protocol.keys import rollout_key
 from limelever.proxy.endpoints import EndpointEntry, EndpointKey
 from limelever.proxy.version_gate import VersionGate
-from limelever.relay.tally_store import TallyBoard
+from limelever.relay.tally_store import TallyStore
 from limelever.rollout.canary_analysis import Finding, Verdict, analyze
 from limelever.rollout.progression import (
     ALL_PERMILLE,
@@ -371,10 +371,10 @@
     assert context.count.take_news(9.0) is None
 
 
-@given("a relay's tally board with another relay subscribed")
-def step_tally_board(context):
-    context.board = TallyBoard()
-    assert context.board.join(9) == []
+@given("a relay's tally store with another relay subscribed")
+def step_tally_store(context):
+    context.store = TallyStore()
+    assert context.store.add_relay(9) == []
 
 
 @when("an agent sends tallies of 5 calls, then of 3, then of 8")
@@ -384,7 +384,7 @@
         tally = Tally("orders", "one", "v2", 7)
         for _ in range(calls):
             tally.add_call("one", 0.1, False)
-        context.sent += context.board.from_agent(tally.message())
+        context.sent += context.store.merge_from_agent(tally.message())
 
 
 @then("the other relay received tallies of 5 and 8 calls")
@@ -393,7 +393,7 @@
     assert {each.connection for each in context.sent} == {9}
 
 
-@then("the board holds 8 calls for the rollout and none for another")
-def step_board_holds(context):
-    assert [answer_count(each) for each in context.board.of("orders", 7)] == [8]
-    assert not context.board.of("orders", 8)
+@then("the store holds 8 calls for the rollout and none for another")
+def step_store_holds(context):
+    assert [answer_count(each) for each in context.store.for_rollout("orders", 7)] == [8]
+    assert not context.store.for_rollout("orders", 8)
--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -69,7 +69,7 @@
                     await self._look(relay, rollout)
 
     async def _look(self, relay: RelayCore, rollout: Rollout) -> None:
-        tallies = relay.endpoints.tallies.of(rollout.service, rollout.ordered_at_ms)
+        tallies = relay.endpoints.tallies.for_rollout(rollout.service, rollout.ordered_at_ms)
         ours = merge_tallies(tally for tally in tallies if tally.version == rollout.target)
         theirs = merge_tallies(tally for tally in tallies if tally.version != rollout.target)
         verdict = analyze(ours, theirs)
--- a/src/limelever/relay/__init__.py
+++ b/src/limelever/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relays: configuration and endpoint distribution within a zone."""
+"""Relays: distribute configuration, endpoints and usage data within a zone."""
--- a/src/limelever/relay/core.py
+++ b/src/limelever/relay/core.py
@@ -1,4 +1,7 @@
-"""The relay's core: subscriber to the sources, publisher to its zone, and the endpoint table."""
+"""The relay's core: subscribes to the sources, publishes to its zone, and exchanges endpoints.
+
+Routes each event to the component that owns its link, and the notices of one component to another.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 from limelever.publisher.notices import FreshnessNeeded, SubscriberAdmitted
 from limelever.publisher.rollout import ZoneHolders
 from limelever.publisher.settings import PublisherSettings
-from limelever.relay.endpoint_exchange import Endpoints, EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointExchange, EndpointExchangeSettings
 from limelever.relay.interface import PlatformListRead, RelayReady, RelaysKnown, StopRequested
 from limelever.relay.limit_exchange import LimitExchange
 from limelever.relay.rollout_reporter import RolloutReporter
@@ -57,25 +60,24 @@
 
 
 class RelayOptions(Struct, frozen=True):
-    """What a relay's core is made of. ``incarnation`` rises with every start of the process.
-
-    ``zone`` is the relay's own; subscribers hear of it.
+    """Options of a relay's core. ``incarnation`` increases with every start of the process.
 
-    ``address`` is where others reach it; ``None`` where the relays are listed in all settings.
+    ``zone`` is that of the relay, which is announced to subscribers. ``address`` is where others
+    reach the relay, or ``None`` if every process has the relays in its settings.
     """
 
     name: str
     incarnation: int
     subscriber: SubscriberSettings
     publisher: PublisherSettings
-    endpoints: EndpointsSettings
+    endpoints: EndpointExchangeSettings
     address: Address | None = None
     zone: str = ""
     limits: LimitRules = LimitRules()
 
 
 class RelayCore:
-    """Passes configuration on, and knows the endpoints of its zone and of the other relays."""
+    """Distributes configuration, and exchanges endpoints with agents, proxies and other relays."""
 
     def __init__(
         self,
@@ -89,16 +91,16 @@
             options.subscriber, connections, itertools.count(1), generator, recovered, sealer
         )
         self._publisher = PublisherCore(options.publisher)
-        self._endpoints = Endpoints(
+        self._endpoints = EndpointExchange(
             options.endpoints, options.name, options.incarnation, connections, generator
         )
         self._limits = LimitExchange(options.limits)
         self._reporter = RolloutReporter(options.publisher.report_interval)
         self._address = options.address
-        self._zone_of: dict[Address, str] = {}
+        self._zone_by_relay: dict[Address, str] = {}
         if options.address is not None:
-            self._zone_of[options.address] = options.zone
-        self._relays: tuple[Address, ...] = ()
+            self._zone_by_relay[options.address] = options.zone
+        self._relay_addresses: tuple[Address, ...] = ()
         self._peers: dict[ConnectionId, Peer] = {}
         self._ready = False
         self._stopping = False
@@ -106,22 +108,22 @@
 
     @property
     def version(self) -> int:
-        """The configuration version that the relay publishes; 0 before it holds one."""
+        """The configuration version that the relay publishes; 0 before the first one."""
         return self._publisher.version
 
     @property
     def fresh_at(self) -> float | None:
-        """When the relay was last known to be current (seconds, monotonic), or ``None``."""
+        """When the configuration was last proved current (seconds, monotonic), or ``None``."""
         return self._subscriber.fresh_at
 
     @property
-    def endpoints(self) -> Endpoints:
-        """The endpoint table and all that feeds it."""
+    def endpoints(self) -> EndpointExchange:
+        """The endpoint table and its exchange with other processes."""
         return self._endpoints
 
     @property
     def rollouts(self) -> Mapping[str, Rollout]:
-        """The newest rollouts of services' versions in the configuration held, by service."""
+        """The rollouts in the installed configuration, by service."""
         return self._rollouts
 
     def rollout(self, version: int) -> tuple[ZoneHolders, ...]:
@@ -129,14 +131,14 @@
         return self._publisher.rollout(version)
 
     def handle(self, event: Event, now: float) -> list[Output]:
-        """Take one event at ``now`` (seconds, monotonic) and return what is to be done."""
+        """Handle an event at ``now`` (seconds, monotonic) and return the outputs for the shell."""
         if self._stopping:
             return []
         match event:
             case Started():
                 self._endpoints.start(now)
                 self._reporter.start(now)
-                return self._carried_out(self._subscriber.handle(event, now), now)
+                return self._route_outputs(self._subscriber.handle(event, now), now)
             case ConnectionOpened(connection, peer):
                 return self._on_opened(connection, peer, event, now)
             case ConnectionClosed(connection) | ConnectionFailed(connection):
@@ -146,16 +148,16 @@
             case DeadlineReached():
                 return self._on_deadline(event, now)
             case PlatformListRead(notices):
-                self._endpoints.take_notices(notices, now)
+                self._endpoints.apply_machine_notices(notices, now)
                 return []
             case RelaysKnown(addresses):
-                return self._relays_known(addresses, now)
+                return self._on_relays_known(addresses, now)
             case StopRequested():
                 return self._stop(now)
-        return self._carried_out(self._subscriber.handle(event, now), now)
+        return self._route_outputs(self._subscriber.handle(event, now), now)
 
     def next_deadline(self) -> float | None:
-        """Return when ``DeadlineReached`` is wanted (seconds, monotonic), or ``None``."""
+        """Return when ``DeadlineReached`` is due (seconds, monotonic), or ``None``."""
         if self._stopping:
             return None
         deadlines = (
@@ -171,121 +173,121 @@
         self, connection: ConnectionId, peer: Peer, event: Event, now: float
     ) -> list[Output]:
         if self._subscriber.owns(connection):
-            return self._carried_out(self._subscriber.handle(event, now), now)
+            return self._route_outputs(self._subscriber.handle(event, now), now)
         if self._endpoints.owns(connection):
-            told = self._zone_known(self._endpoints.address_of(connection), peer.zone)
-            return [*told, *self._endpoints.handle_peer(connection, event, now)]
+            messages = self._on_relay_zone(self._endpoints.address_of(connection), peer.zone)
+            return [*messages, *self._endpoints.handle_peer_event(connection, event, now)]
         self._peers[connection] = peer
         if peer.purpose is Purpose.SUBSCRIPTION:
-            return self._carried_out(self._publisher.handle(event, now), now)
+            return self._route_outputs(self._publisher.handle(event, now), now)
         return []
 
     def _on_closed(self, connection: ConnectionId, event: Event, now: float) -> list[Output]:
         if self._subscriber.owns(connection):
-            return self._carried_out(self._subscriber.handle(event, now), now)
+            return self._route_outputs(self._subscriber.handle(event, now), now)
         if self._endpoints.owns(connection):
-            self._limits.relay_lost(self._endpoints.address_of(connection))
-            return self._endpoints.handle_peer(connection, event, now)
+            self._limits.relay_disconnected(self._endpoints.address_of(connection))
+            return self._endpoints.handle_peer_event(connection, event, now)
         self._peers.pop(connection, None)
-        self._endpoints.closed(connection)
-        self._limits.closed(connection)
-        return self._carried_out(self._publisher.handle(event, now), now)
+        self._endpoints.connection_closed(connection)
+        self._limits.connection_closed(connection)
+        return self._route_outputs(self._publisher.handle(event, now), now)
 
     def _on_message(
         self, connection: ConnectionId, message: Message, event: Event, now: float
     ) -> list[Output]:
         if self._subscriber.owns(connection):
-            outputs = self._carried_out(self._subscriber.handle(event, now), now)
-            return [*outputs, *self._publish_nothing(message, now)]
+            outputs = self._route_outputs(self._subscriber.handle(event, now), now)
+            return [*outputs, *self._publish_empty(message, now)]
         if self._endpoints.owns(connection):
-            self._limits.relay_told(self._endpoints.address_of(connection), message, now)
-            return self._endpoints.handle_peer(connection, event, now)
+            self._limits.handle_relay_message(self._endpoints.address_of(connection), message, now)
+            return self._endpoints.handle_peer_event(connection, event, now)
         peer = self._peers.get(connection)
         match peer.purpose if peer is not None else None:
             case Purpose.REGISTRATION:
-                return self._endpoints.from_agent(connection, message, now)
+                return self._endpoints.handle_agent_message(connection, message, now)
             case Purpose.ENDPOINTS if isinstance(message, LoadInterest):
-                self._endpoints.loads_wanted(connection, message)
+                self._endpoints.set_load_interest(connection, message)
             case Purpose.ENDPOINTS if isinstance(message, EndpointSyncRequest):
-                synced = self._endpoints.sync_requested(connection, message, now)
-                return [*synced, *self._limits.relay_joined(connection, now)]
+                synced = self._endpoints.handle_sync_request(connection, message, now)
+                return [*synced, *self._limits.add_relay(connection, now)]
             case Purpose.SUBSCRIPTION if isinstance(message, CrashNews):
-                self._endpoints.proxy_told(message, now)
+                self._endpoints.merge_crashes(message, now)
             case Purpose.SUBSCRIPTION if peer is not None and isinstance(message, TenantUse):
-                self._limits.proxy_told(connection, peer, message, now)
+                self._limits.handle_proxy_report(connection, peer, message, now)
             case Purpose.SUBSCRIPTION:
-                return self._carried_out(self._publisher.handle(event, now), now)
+                return self._route_outputs(self._publisher.handle(event, now), now)
         return []
 
-    def _relays_known(self, addresses: tuple[Address, ...], now: float) -> list[Output]:
-        """Exchange endpoints with all other relays, and name them to the subscribers."""
-        self._relays = addresses
-        others = [address for address in addresses if address != self._address]
-        return [*self._endpoints.keep_peers(others, now), *self._tell_all_of_relays()]
+    def _on_relays_known(self, addresses: tuple[Address, ...], now: float) -> list[Output]:
+        """Exchange endpoints with all other relays, and announce them to the subscribers."""
+        self._relay_addresses = addresses
+        peers = [address for address in addresses if address != self._address]
+        return [*self._endpoints.set_peers(peers, now), *self._announce_relays()]
 
-    def _zone_known(self, address: Address, zone: str) -> list[Output]:
-        """Take the zone of another relay, and tell the subscribers if that is news."""
-        if self._zone_of.get(address) == zone:
+    def _on_relay_zone(self, address: Address, zone: str) -> list[Output]:
+        """Record the zone of another relay, and announce it to the subscribers if it changed."""
+        if self._zone_by_relay.get(address) == zone:
             return []
-        self._zone_of[address] = zone
-        return self._tell_all_of_relays()
+        self._zone_by_relay[address] = zone
+        return self._announce_relays()
 
-    def _tell_all_of_relays(self) -> list[Output]:
-        if not self._relays:
+    def _announce_relays(self) -> list[Output]:
+        if not self._relay_addresses:
             return []
         return [
-            SendMessage(connection, self._publishers())
+            SendMessage(connection, self._publishers_message())
             for connection, peer in self._peers.items()
             if peer.purpose is Purpose.SUBSCRIPTION and self._publisher.scope_of(connection)
         ]
 
-    def _publishers(self) -> Publishers:
+    def _publishers_message(self) -> Publishers:
         return Publishers(
-            addresses=[str(address) for address in self._relays],
-            zones=[self._zone_of.get(address, "") for address in self._relays],
+            addresses=[str(address) for address in self._relay_addresses],
+            zones=[self._zone_by_relay.get(address, "") for address in self._relay_addresses],
         )
 
-    def _admit(self, connection: ConnectionId, now: float) -> list[Output]:
-        """Tell a subscriber of the other relays, and a proxy of its endpoints besides."""
+    def _on_admitted(self, connection: ConnectionId, now: float) -> list[Output]:
+        """Send an admitted subscriber the list of relays, and a proxy also its endpoints."""
         peer, scope = self._peers.get(connection), self._publisher.scope_of(connection)
         if peer is None or scope is None:
             return []
-        told: list[Output] = []
-        if self._relays:
-            told.append(SendMessage(connection, self._publishers()))
+        messages: list[Output] = []
+        if self._relay_addresses:
+            messages.append(SendMessage(connection, self._publishers_message()))
         if peer.role is Role.PROXY:
-            told.extend(self._endpoints.proxy_joined(connection, scope, peer.zone, now))
-        return told
+            messages.extend(self._endpoints.add_proxy(connection, scope, peer.zone, now))
+        return messages
 
     def _on_deadline(self, event: Event, now: float) -> list[Output]:
-        outputs = self._carried_out(self._subscriber.handle(event, now), now)
-        outputs.extend(self._carried_out(self._publisher.handle(event, now), now))
+        outputs = self._route_outputs(self._subscriber.handle(event, now), now)
+        outputs.extend(self._route_outputs(self._publisher.handle(event, now), now))
         outputs.extend(self._endpoints.on_deadline(now))
         outputs.extend(self._limits.on_deadline(now))
         if self._reporter.due(now) and self._subscriber.subscribed:
             counts = self._publisher.rollout_report()
-            report = self._reporter.changed(counts, self._subscriber.connection)
+            report = self._reporter.report_if_changed(counts, self._subscriber.connection)
             outputs.extend(self._subscriber.send_up(report) if report is not None else [])
         return outputs
 
-    def _carried_out(self, outputs: list[Output], now: float) -> list[Output]:
-        """Act on the components' notices; the rest goes to the shell, in its order."""
+    def _route_outputs(self, outputs: list[Output], now: float) -> list[Output]:
+        """Handle the notices among a component's outputs; return the others in order."""
         for_shell: list[Output] = []
         for output in outputs:
             match output:
                 case SubscriberAdmitted(connection):
-                    for_shell.extend(self._admit(connection, now))
+                    for_shell.extend(self._on_admitted(connection, now))
                 case FreshnessNeeded():
-                    for_shell.extend(self._carried_out(self._subscriber.probe(now), now))
+                    for_shell.extend(self._route_outputs(self._subscriber.probe(now), now))
                 case FreshnessProved(at):
                     proved = self._publisher.proved_fresh(at, now)
-                    for_shell.extend(self._carried_out(proved, now))
+                    for_shell.extend(self._route_outputs(proved, now))
                 case ConfigurationInstalled():
                     for_shell.extend(self._publish(output, now))
                 case VersionConfirmed(version):
                     if version > self._publisher.version:
-                        moved = self._publisher.advance(version, (), (), now)
-                        for_shell.extend(self._carried_out(moved, now))
+                        advanced = self._publisher.advance(version, (), (), now)
+                        for_shell.extend(self._route_outputs(advanced, now))
                 case (
                     CrashNewsReceived()
                     | EndpointsReceived()
@@ -300,7 +302,7 @@
 
     def _publish(self, installed: ConfigurationInstalled, now: float) -> list[Output]:
         self._rollouts = installed.configuration.rollouts
-        self._limits.configured(installed, now)
+        self._limits.apply_configuration(installed, now)
         if not self._ready or installed.version == self._publisher.version:
             resources = installed.configuration.resources.values()
             outputs = self._publisher.load(installed.version, resources, now)
@@ -311,14 +313,14 @@
         if not self._ready:
             self._ready = True
             outputs.append(RelayReady())
-        return self._carried_out(outputs, now)
+        return self._route_outputs(outputs, now)
 
-    def _publish_nothing(self, message: Message, now: float) -> list[Output]:
-        """Serve subscribers from a source that has had no change yet: endpoints come with it."""
+    def _publish_empty(self, message: Message, now: float) -> list[Output]:
+        """Publish version 0 if the source has no version yet, so that subscribers get endpoints."""
         if self._ready or not isinstance(message, Heartbeat) or message.version:
             return []
         self._ready = True
-        return [*self._carried_out(self._publisher.load(0, (), now), now), RelayReady()]
+        return [*self._route_outputs(self._publisher.load(0, (), now), now), RelayReady()]
 
     def _stop(self, now: float) -> list[Output]:
         self._stopping = True
--- a/src/limelever/relay/crash_broadcast.py
+++ b/src/limelever/relay/crash_broadcast.py
@@ -1,8 +1,7 @@
-"""Passes on what is known of requests under which back ends have ended.
+"""Broadcasts updates of the crash history to proxies and other relays.
 
-Whatever is new here goes to all proxies and all other relays, whoever told it: two relays that
-are cut off from each other hear of it by way of a third, and nothing is passed on twice. Who begins
-to listen is told all, so that a machine that has just started knows as much as the others.
+A change is sent to all subscribers, including the one it came from, and only once: relays that are
+partitioned from each other receive it through a third. A new subscriber receives the full history.
 """
 
 from __future__ import annotations
@@ -14,59 +13,61 @@
 from limelever.quarantine.fingerprint import format_digest
 from limelever.relay import events
 
-BATCH_SECONDS = 0.05
-"""Between two batches of news, as for endpoints."""
+BATCH_INTERVAL = 0.05
+"""Minimum seconds between two batches of updates."""
 
 
-class CrashBoard:
-    """What one relay knows; times in seconds."""
+class CrashBroadcaster:
+    """Holds a relay's replica of the crash history; times in seconds, monotonic."""
 
     def __init__(self) -> None:
-        self._evidence = CrashHistory()
-        self._listeners: dict[ConnectionId, None] = {}
+        self._history = CrashHistory()
+        self._subscribers: dict[ConnectionId, None] = {}
         self._changed: dict[int, None] = {}
-        self._batch = BatchTimer(BATCH_SECONDS)
+        self._batch = BatchTimer(BATCH_INTERVAL)
 
-    def join(self, listener: ConnectionId, now: float) -> list[Output]:
-        """Tell a proxy or another relay all that is known, and news from now on."""
-        self._listeners[listener] = None
-        return [SendMessage(listener, self._evidence.full_update(now))]
+    def subscribe(self, subscriber: ConnectionId, now: float) -> list[Output]:
+        """Send a proxy or another relay the full history, and updates from now on."""
+        self._subscribers[subscriber] = None
+        return [SendMessage(subscriber, self._history.full_update(now))]
 
-    def leave(self, listener: ConnectionId) -> None:
-        """Forget a listener whose link is gone."""
-        self._listeners.pop(listener, None)
+    def unsubscribe(self, subscriber: ConnectionId) -> None:
+        """Remove a subscriber whose link was closed."""
+        self._subscribers.pop(subscriber, None)
 
-    def heard(self, news: CrashNews, now: float) -> None:
-        """Take what an agent, a proxy or another relay tells."""
-        self._changed.update(dict.fromkeys(self._evidence.merge(news, now)))
+    def merge(self, update: CrashNews, now: float) -> None:
+        """Merge an update from an agent, a proxy or another relay."""
+        self._changed.update(dict.fromkeys(self._history.merge(update, now)))
         if self._changed:
             self._batch.note(now)
 
     def due(self, now: float) -> bool:
-        """Return whether there are news to be told now."""
+        """Return whether a batch of updates is due."""
         return self._batch.due(now)
 
     def next_deadline(self) -> float | None:
-        """Return when news are to be told."""
+        """Return when the next batch is due, or ``None``."""
         return self._batch.due_at
 
-    def take(self, now: float) -> list[Output]:
-        """Return the news for all listeners."""
+    def flush(self, now: float) -> list[Output]:
+        """Return the batch for all subscribers, and log the requests that are quarantined."""
         changed, self._changed = self._changed, {}
         self._batch.taken()
         self._batch.sent(now)
-        news = self._evidence.update_for(changed, now)
-        told: list[Output] = [SendMessage(each, news) for each in self._listeners]
-        return [*told, *self._logs(changed)]
+        update = self._history.update_for(changed, now)
+        outputs: list[Output] = [
+            SendMessage(subscriber, update) for subscriber in self._subscribers
+        ]
+        return [*outputs, *self._log_quarantined(changed)]
 
-    def _logs(self, requests: dict[int, None]) -> list[Output]:
+    def _log_quarantined(self, requests: dict[int, None]) -> list[Output]:
         logs: list[Output] = []
         for request in requests:
-            held = self._evidence.get(request)
-            if held is not None and held.is_quarantined:
+            record = self._history.get(request)
+            if record is not None and record.is_quarantined:
                 fields: dict[str, object] = {
                     "request": format_digest(request),
-                    "crashes": held.consecutive_crashes,
+                    "crashes": record.consecutive_crashes,
                 }
                 logs.append(LogEvent(events.REQUEST_CONVICTED, fields))
         return logs
--- a/src/limelever/relay/endpoint_entry.py
+++ b/src/limelever/relay/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""One endpoint as a relay knows it, and which of two notions of it is the newer one."""
+"""Endpoint records of a relay, and the order of precedence between two states of an endpoint."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     EndpointState,
 )
 
-OWN = ""
-"""Origin of the endpoints whose agents hold their lease at this relay."""
+LOCAL_ORIGIN = ""
+"""Origin of the endpoints that hold their lease at this relay."""
 
 
 class EndpointName(Struct, frozen=True, order=True):
-    """Names one back end instance of a service."""
+    """Identifies an instance of a service."""
 
     service: str
     instance: str
@@ -28,41 +28,42 @@
         return cls(endpoint.service, endpoint.instance)
 
 
-class Rank(Struct, frozen=True, order=True):
-    """Orders notions of one endpoint: the newer wins, and among equals the worse state."""
+class Precedence(Struct, frozen=True, order=True):
+    """Orders states of one endpoint: the newer wins, and of equally new ones the worse state."""
 
     incarnation: int
     sequence: int
     state: int
 
     @classmethod
-    def of(cls, endpoint: Endpoint) -> Rank:
-        """Return the rank of ``endpoint``."""
+    def of(cls, endpoint: Endpoint) -> Precedence:
+        """Return the precedence of ``endpoint``."""
         return cls(endpoint.incarnation, endpoint.sequence, endpoint.state)
 
 
-class Entry(Struct, frozen=True):
+class EndpointEntry(Struct, frozen=True):
     """An endpoint, or the tombstone of one that is gone.
 
-    ``origin`` is the relay that holds its lease (``OWN`` for this one). ``expires_at``
-    (seconds, monotonic) is when a lease, the grace of a lost relay or a tombstone ends.
-    ``drained`` is sticky for an incarnation. ``change`` numbers changes of own endpoints.
+    ``origin`` is the relay that holds its lease (``LOCAL_ORIGIN`` for this one). ``expires_at``
+    (seconds, monotonic) is when the lease, the grace period of a disconnected relay or the
+    tombstone ends. ``drained`` stays set for the rest of an incarnation. ``local_change`` is the
+    sequence number of the last change while the lease was held here.
     """
 
     endpoint: Endpoint
     origin: str
     expires_at: float | None
     drained: bool = False
-    change: int = 0
+    local_change: int = 0
 
     @property
-    def gone(self) -> bool:
+    def is_tombstone(self) -> bool:
         """Whether this is a tombstone."""
         return self.endpoint.state == ENDPOINT_STATE_GONE
 
 
-def as_stored(endpoint: Endpoint, state: EndpointState.ValueType) -> Endpoint:
-    """Return a copy with ``state`` and without the reported load, which is not fanned out."""
+def stored_copy(endpoint: Endpoint, state: EndpointState.ValueType) -> Endpoint:
+    """Return a copy with ``state`` and without the reported load, which is not replicated."""
     stored = Endpoint()
     stored.CopyFrom(endpoint)
     stored.state = state
@@ -70,14 +71,14 @@
     return stored
 
 
-def is_visible_change(held: Endpoint | None, offered: Endpoint) -> bool:
-    """Return whether proxies and peers need to hear of ``offered``; a sequence alone does not."""
-    if held is None:
-        return offered.state != ENDPOINT_STATE_GONE
-    return _visible(held) != _visible(offered)
+def is_visible_change(current: Endpoint | None, update: Endpoint) -> bool:
+    """Return whether ``update`` differs in a field that proxies and other relays use."""
+    if current is None:
+        return update.state != ENDPOINT_STATE_GONE
+    return _visible_fields(current) != _visible_fields(update)
 
 
-def _visible(endpoint: Endpoint) -> tuple[int, int, str, int, int, str, str]:
+def _visible_fields(endpoint: Endpoint) -> tuple[int, int, str, int, int, str, str]:
     return (
         endpoint.incarnation,
         endpoint.state,
@@ -89,8 +90,8 @@
     )
 
 
-def held_back(state: EndpointState.ValueType, drained: bool) -> EndpointState.ValueType:
-    """Return ``state``, or draining where an incarnation that drained says it is ready."""
+def effective_state(state: EndpointState.ValueType, drained: bool) -> EndpointState.ValueType:
+    """Return ``state``, but draining instead of ready for an incarnation that has drained."""
     if drained and state == ENDPOINT_STATE_READY:
         return ENDPOINT_STATE_DRAINING
     return state
--- a/src/limelever/relay/endpoint_exchange.py
+++ b/src/limelever/relay/endpoint_exchange.py
@@ -1,4 +1,8 @@
-"""The relay's endpoint side: table, leases, other relays, and the feed to proxies."""
+"""The relay's endpoint exchange with agents, other relays and proxies.
+
+Connects the endpoint table to the leases, the replication between relays and the feed to proxies.
+Loads, crash histories and rollout tallies are exchanged on the same links.
+"""
 
 from __future__ import annotations
 
@@ -32,21 +36,23 @@
 from limelever.publisher.batching import BatchTimer
 from limelever.publisher.scope import Scope
 from limelever.relay import events
-from limelever.relay.crash_broadcast import CrashBoard
+from limelever.relay.crash_broadcast import CrashBroadcaster
 from limelever.relay.endpoint_entry import EndpointName
 from limelever.relay.endpoint_feed import EndpointFeed
 from limelever.relay.endpoint_sync import EndpointSyncServer
 from limelever.relay.endpoint_table import EndpointTable, TableSettings
 from limelever.relay.leases import Leases
-from limelever.relay.load_broadcast import LoadBoard
+from limelever.relay.load_broadcast import LoadBroadcaster
 from limelever.relay.peer_relay import PeerRelay
-from limelever.relay.tally_store import TallyBoard
+from limelever.relay.tally_store import TallyStore
 
 
-class EndpointsSettings(Struct, frozen=True):
-    """Durations in seconds. ``batch`` is the least time between two batches of changes.
+class EndpointExchangeSettings(Struct, frozen=True):
+    """Durations in seconds.
 
-    ``load_batch`` is the same for loads: as long as agents wait between two reports.
+    ``batch`` is the minimum time between two batches of endpoint changes, and ``load_batch`` that
+    between two batches of loads, the report interval of agents. ``silent_after`` is the idle
+    timeout of links to other relays.
     """
 
     peers: tuple[Address, ...] = ()
@@ -59,12 +65,12 @@
     backoff: BackoffSettings = BackoffSettings()
 
 
-class Endpoints:
-    """Takes endpoint news from all sides and sends it on in batches."""
+class EndpointExchange:
+    """Merges endpoint changes from agents and other relays, and publishes them in batches."""
 
     def __init__(
         self,
-        settings: EndpointsSettings,
+        settings: EndpointExchangeSettings,
         relay: str,
         incarnation: int,
         connections: DialledConnections,
@@ -77,35 +83,35 @@
         self._settings = settings
         self._connections = connections
         self._generator = generator
-        self._peers = [self._peer(address) for address in settings.peers]
-        self._changed: set[EndpointName] = set()
+        self._peers = [self._make_peer(address) for address in settings.peers]
+        self._pending_changes: set[EndpointName] = set()
         self._batch = BatchTimer(settings.batch)
-        self._loads = LoadBoard(settings.load_batch)
-        self._told_zones: frozenset[str] = frozenset()
-        self._crashes = CrashBoard()
-        self.tallies = TallyBoard()
+        self._loads = LoadBroadcaster(settings.load_batch)
+        self._announced_zones: frozenset[str] = frozenset()
+        self._crashes = CrashBroadcaster()
+        self.tallies = TallyStore()
 
     def start(self, now: float) -> None:
-        """Begin to dial the other relays."""
+        """Start dialling the other relays."""
         for peer in self._peers:
             peer.start(now)
 
-    def keep_peers(self, addresses: Iterable[Address], now: float) -> list[Output]:
-        """Exchange endpoints with just these relays from now on."""
+    def set_peers(self, addresses: Iterable[Address], now: float) -> list[Output]:
+        """Replace the relays to exchange endpoints with."""
         wanted = list(dict.fromkeys(addresses))
-        dropped = [peer for peer in self._peers if peer.address not in wanted]
-        known = {peer.address: peer for peer in self._peers if peer.address in wanted}
+        removed = [peer for peer in self._peers if peer.address not in wanted]
+        by_address = {peer.address: peer for peer in self._peers if peer.address in wanted}
         for address in wanted:
-            if address not in known:
-                known[address] = self._peer(address)
-                known[address].start(now)
-        self._peers = [known[address] for address in wanted]
+            if address not in by_address:
+                by_address[address] = self._make_peer(address)
+                by_address[address].start(now)
+        self._peers = [by_address[address] for address in wanted]
         outputs: list[Output] = []
-        for peer in dropped:
-            outputs.extend(peer.dismiss(now))
+        for peer in removed:
+            outputs.extend(peer.retire(now))
         return outputs
 
-    def _peer(self, address: Address) -> PeerRelay:
+    def _make_peer(self, address: Address) -> PeerRelay:
         return PeerRelay(
             address,
             self.table,
@@ -120,98 +126,109 @@
         return [output for peer in self._peers for output in peer.stop()]
 
     def owns(self, connection: ConnectionId) -> bool:
-        """Return whether a dialled link is one to another relay."""
+        """Return whether a dialled link leads to another relay."""
         return any(peer.owns(connection) for peer in self._peers)
 
     def address_of(self, connection: ConnectionId) -> Address:
         """Return the address of the relay that a dialled link leads to."""
         return next(peer.address for peer in self._peers if peer.owns(connection))
 
-    def handle_peer(self, connection: ConnectionId, event: Event, now: float) -> list[Output]:
-        """Take an event of a link to another relay."""
+    def handle_peer_event(self, connection: ConnectionId, event: Event, now: float) -> list[Output]:
+        """Handle an event of a link to another relay."""
         if isinstance(event, MessageReceived) and isinstance(event.message, LoadUpdate):
-            self._loads.heard(event.message, now)
+            self._loads.merge_update(event.message, now)
             return []
         if isinstance(event, MessageReceived) and isinstance(event.message, CrashNews):
-            self._crashes.heard(event.message, now)
+            self._crashes.merge(event.message, now)
             return []
         if isinstance(event, MessageReceived) and isinstance(event.message, VersionTally):
-            self.tallies.heard(event.message)
+            self.tallies.merge(event.message)
             return []
         peer = next(peer for peer in self._peers if peer.owns(connection))
         outputs = peer.handle(event, now)
-        self._note(peer.take_changed(), now)
+        self._queue_changes(peer.take_changed(), now)
         if isinstance(event, ConnectionOpened):
-            outputs.append(SendMessage(connection, LoadInterest(zones=sorted(self._told_zones))))
+            outputs.append(
+                SendMessage(connection, LoadInterest(zones=sorted(self._announced_zones)))
+            )
         return outputs
 
-    def from_agent(self, connection: ConnectionId, message: Message, now: float) -> list[Output]:
-        """Take a message of a registration link."""
+    def handle_agent_message(
+        self, connection: ConnectionId, message: Message, now: float
+    ) -> list[Output]:
+        """Handle a message on a registration link."""
         if isinstance(message, LoadReport):
-            self._load_reported(connection, message, now)
+            self._handle_load_report(connection, message, now)
             return []
         if isinstance(message, CrashNews):
-            self._crashes.heard(message, now)
+            self._crashes.merge(message, now)
             return []
         if isinstance(message, VersionTally):
-            return self.tallies.from_agent(message)
+            return self.tallies.merge_from_agent(message)
         result = self._leases.handle(connection, message, now)
-        self._note(result.changed, now)
+        self._queue_changes(result.changed, now)
         return result.outputs
 
-    def sync_requested(
+    def handle_sync_request(
         self, connection: ConnectionId, request: EndpointSyncRequest, now: float
     ) -> list[Output]:
-        """Answer another relay that asks for this one's endpoints, and tell it of crashes."""
-        told = [*self._crashes.join(connection, now), *self.tallies.join(connection)]
-        return [*self._sync.requested(connection, request, now), *told]
+        """Send another relay the endpoints that it lacks, the crash history and the tallies."""
+        full_state = [
+            *self._crashes.subscribe(connection, now),
+            *self.tallies.add_relay(connection),
+        ]
+        return [*self._sync.handle_request(connection, request, now), *full_state]
 
-    def proxy_told(self, news: CrashNews, now: float) -> None:
-        """Take what a proxy tells of requests under which back ends have ended."""
-        self._crashes.heard(news, now)
+    def merge_crashes(self, news: CrashNews, now: float) -> None:
+        """Merge an update of the crash history from a proxy."""
+        self._crashes.merge(news, now)
 
-    def proxy_joined(
+    def add_proxy(
         self, connection: ConnectionId, scope: Scope, zone: str, now: float
     ) -> list[Output]:
-        """Send a proxy the endpoints of its scope, and changes from now on.
+        """Send a proxy the endpoints of its scope and the crash history, and changes from now on.
 
-        It hears of loads in its ``zone`` besides, and of crashes anywhere.
+        From now on it also receives the loads of its ``zone``.
         """
-        self._loads.join(connection, zone)
-        endpoints = self._feed.join(connection, scope)
-        return [*endpoints, *self._crashes.join(connection, now), *self._tell_interest()]
-
-    def closed(self, connection: ConnectionId) -> None:
-        """Forget an accepted link that is gone."""
-        self._leases.closed(connection)
-        self._feed.leave(connection)
-        self._loads.leave(connection)
-        self._crashes.leave(connection)
-        self.tallies.leave(connection)
-        self._sync.closed(connection)
-
-    def take_notices(self, notices: Iterable[MachineNotice], now: float) -> None:
-        """Take the platform list."""
-        self._note(self.table.take_notices(notices, now), now)
+        self._loads.add_proxy(connection, zone)
+        endpoints = self._feed.add_proxy(connection, scope)
+        return [
+            *endpoints,
+            *self._crashes.subscribe(connection, now),
+            *self._announce_load_interest(),
+        ]
+
+    def connection_closed(self, connection: ConnectionId) -> None:
+        """Release the state of an accepted link that was closed."""
+        self._leases.connection_closed(connection)
+        self._feed.remove_proxy(connection)
+        self._loads.remove(connection)
+        self._crashes.unsubscribe(connection)
+        self.tallies.remove_relay(connection)
+        self._sync.remove_peer(connection)
+
+    def apply_machine_notices(self, notices: Iterable[MachineNotice], now: float) -> None:
+        """Apply the platform's list of leaving and dead machines."""
+        self._queue_changes(self.table.apply_machine_notices(notices, now), now)
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Do what is due at ``now``."""
+        """Run the timers that are due."""
         outputs: list[Output] = []
-        gone = self.table.expire(now)
-        for name in gone:
+        expired = self.table.expire(now)
+        for name in expired:
             fields: dict[str, object] = {"service": name.service, "instance": name.instance}
             outputs.append(LogEvent(events.ENDPOINT_GONE, fields))
-        self._note(gone, now)
+        self._queue_changes(expired, now)
         for peer in self._peers:
             outputs.extend(peer.on_deadline(now))
         outputs.extend(self._sync.on_deadline(now))
         if self._batch.due(now):
             outputs.extend(self._flush(now))
         if self._loads.due(now):
-            outputs.extend(self._loads.take(now))
+            outputs.extend(self._loads.flush(now))
         if self._crashes.due(now):
-            outputs.extend(self._crashes.take(now))
-        outputs.extend(self._tell_interest())
+            outputs.extend(self._crashes.flush(now))
+        outputs.extend(self._announce_load_interest())
         return outputs
 
     def next_deadline(self) -> float | None:
@@ -226,32 +243,32 @@
         deadlines.extend(peer.next_deadline() for peer in self._peers)
         return min((at for at in deadlines if at is not None), default=None)
 
-    def loads_wanted(self, connection: ConnectionId, interest: LoadInterest) -> None:
-        """Take from another relay whose loads it wants: those of its proxies' zones."""
-        self._loads.wanted(connection, interest.zones)
+    def set_load_interest(self, connection: ConnectionId, interest: LoadInterest) -> None:
+        """Set the zones whose loads another relay wants, which are those of its proxies."""
+        self._loads.set_interest(connection, interest.zones)
 
-    def _tell_interest(self) -> list[Output]:
-        """Tell the other relays of which zones there are proxies here, when that has changed."""
+    def _announce_load_interest(self) -> list[Output]:
+        """Announce the zones of the proxies here to the other relays if they have changed."""
         zones = self._loads.zones
-        if zones == self._told_zones:
+        if zones == self._announced_zones:
             return []
-        self._told_zones = zones
+        self._announced_zones = zones
         interest = LoadInterest(zones=sorted(zones))
         links = (peer.open_connection for peer in self._peers)
         return [SendMessage(link, interest) for link in links if link is not None]
 
-    def _load_reported(self, connection: ConnectionId, report: LoadReport, now: float) -> None:
-        endpoint = self._leases.reporting(connection)
+    def _handle_load_report(self, connection: ConnectionId, report: LoadReport, now: float) -> None:
+        endpoint = self._leases.registered_endpoint(connection)
         if endpoint is not None:
-            self._loads.reported(endpoint, report, now)
+            self._loads.merge_report(endpoint, report, now)
 
-    def _note(self, changed: Iterable[EndpointName], now: float) -> None:
-        self._changed.update(changed)
-        if self._changed:
+    def _queue_changes(self, changed: Iterable[EndpointName], now: float) -> None:
+        self._pending_changes.update(changed)
+        if self._pending_changes:
             self._batch.note(now)
 
     def _flush(self, now: float) -> list[Output]:
-        changed, self._changed = self._changed, set()
+        changed, self._pending_changes = self._pending_changes, set()
         self._batch.taken()
         self._batch.sent(now)
         fields: dict[str, object] = {"endpoints": len(changed)}
--- a/src/limelever/relay/endpoint_feed.py
+++ b/src/limelever/relay/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Endpoint updates to proxies on their subscription links, scoped by service."""
+"""Publishes endpoint updates to proxies on their subscription links, scoped by service."""
 
 from __future__ import annotations
 
@@ -12,59 +12,63 @@
 
 
 class EndpointFeed:
-    """Sends each proxy its scope: all of it once, then changes; one message for each scope."""
+    """Sends each proxy the endpoints of its scope, then changes; builds one message a scope."""
 
     def __init__(self, table: EndpointTable) -> None:
         self._table = table
-        self._scopes: dict[ConnectionId, Scope] = {}
-        self._proxies: dict[Scope, dict[ConnectionId, None]] = {}
-        self._by_service: dict[str, dict[Scope, None]] = {}
+        self._scope_by_proxy: dict[ConnectionId, Scope] = {}
+        self._proxies_by_scope: dict[Scope, dict[ConnectionId, None]] = {}
+        self._scopes_by_service: dict[str, dict[Scope, None]] = {}
 
-    def join(self, connection: ConnectionId, scope: Scope) -> list[Output]:
-        """Send a proxy all endpoints of its scope; changes follow."""
-        if connection not in self._scopes:
-            self._scopes[connection] = scope
-            self._proxies.setdefault(scope, {})[connection] = None
+    def add_proxy(self, connection: ConnectionId, scope: Scope) -> list[Output]:
+        """Send a proxy all endpoints of its scope, and changes from now on."""
+        if connection not in self._scope_by_proxy:
+            self._scope_by_proxy[connection] = scope
+            self._proxies_by_scope.setdefault(scope, {})[connection] = None
             for service in scope.services:
-                self._by_service.setdefault(service, {})[scope] = None
-        update = EndpointUpdate(full=True, endpoints=self._all(scope))
+                self._scopes_by_service.setdefault(service, {})[scope] = None
+        update = EndpointUpdate(full=True, endpoints=self._all_endpoints(scope))
         return [SendMessage(connection, update)]
 
-    def leave(self, connection: ConnectionId) -> None:
-        """Forget a proxy whose link is gone."""
-        scope = self._scopes.pop(connection, None)
+    def remove_proxy(self, connection: ConnectionId) -> None:
+        """Remove a proxy whose link was closed."""
+        scope = self._scope_by_proxy.pop(connection, None)
         if scope is None:
             return
-        del self._proxies[scope][connection]
-        if self._proxies[scope]:
+        del self._proxies_by_scope[scope][connection]
+        if self._proxies_by_scope[scope]:
             return
-        del self._proxies[scope]
+        del self._proxies_by_scope[scope]
         for service in scope.services:
-            self._by_service[service].pop(scope, None)
-            if not self._by_service[service]:
-                del self._by_service[service]
+            self._scopes_by_service[service].pop(scope, None)
+            if not self._scopes_by_service[service]:
+                del self._scopes_by_service[service]
 
     def publish(self, names: Iterable[EndpointName]) -> list[Output]:
-        """Send the endpoints that changed to the proxies whose scope has them."""
+        """Send changed endpoints to the proxies whose scope includes their service."""
         changes: dict[Scope, list[Endpoint]] = {}
         for name in sorted(names):
             entry = self._table.get(name)
             if entry is None:
                 continue
-            for scope in self._scopes_with(name.service):
+            for scope in self._scopes_including(name.service):
                 changes.setdefault(scope, []).append(entry.endpoint)
         outputs: list[Output] = []
         for scope, endpoints in changes.items():
             update = EndpointUpdate(endpoints=endpoints)
-            outputs.extend(SendMessage(proxy, update) for proxy in self._proxies[scope])
+            outputs.extend(SendMessage(proxy, update) for proxy in self._proxies_by_scope[scope])
         return outputs
 
-    def _scopes_with(self, service: str) -> list[Scope]:
-        scopes = list(self._by_service.get(service, ()))
+    def _scopes_including(self, service: str) -> list[Scope]:
+        scopes = list(self._scopes_by_service.get(service, ()))
         everything = Scope(everything=True)
-        return [*scopes, everything] if everything in self._proxies else scopes
+        return [*scopes, everything] if everything in self._proxies_by_scope else scopes
 
-    def _all(self, scope: Scope) -> list[Endpoint]:
+    def _all_endpoints(self, scope: Scope) -> list[Endpoint]:
         if scope.everything:
-            return self._table.living()
-        return [e for service in sorted(scope.services) for e in self._table.of_service(service)]
+            return self._table.live_endpoints()
+        return [
+            endpoint
+            for service in sorted(scope.services)
+            for endpoint in self._table.of_service(service)
+        ]
--- a/src/limelever/relay/endpoint_sync.py
+++ b/src/limelever/relay/endpoint_sync.py
@@ -1,4 +1,7 @@
-"""What this relay tells other relays: the changes of its own agents' endpoints."""
+"""Replicates the endpoints leased at this relay to the other relays.
+
+Local changes are numbered, so that a relay that reconnects receives only those it missed.
+"""
 
 from __future__ import annotations
 
@@ -6,75 +9,83 @@
 
 from limelever.common.sansio import ConnectionId, Output, SendMessage
 from limelever.protocol.endpoints_pb2 import Endpoint, EndpointSync, EndpointSyncRequest
-from limelever.relay.endpoint_entry import OWN, EndpointName
+from limelever.relay.endpoint_entry import LOCAL_ORIGIN, EndpointName
 from limelever.relay.endpoint_table import EndpointTable
 
 
 class EndpointSyncServer:
-    """Serves the endpoints links that other relays dialled."""
+    """Serves the endpoint links that other relays opened; times in seconds, monotonic."""
 
     def __init__(
-        self, table: EndpointTable, relay: str, incarnation: int, heartbeat: float
+        self, table: EndpointTable, relay: str, incarnation: int, heartbeat_interval: float
     ) -> None:
         self._table = table
-        self._relay = relay
+        self._relay_name = relay
         self._incarnation = incarnation
-        self._heartbeat = heartbeat
-        self._heartbeat_at: float | None = None
+        self._heartbeat_interval = heartbeat_interval
+        self._next_heartbeat_at: float | None = None
         self._peers: dict[ConnectionId, None] = {}
-        self._told = 0
+        self._sent_sequence = 0
 
-    def requested(
+    def handle_request(
         self, connection: ConnectionId, request: EndpointSyncRequest, now: float
     ) -> list[Output]:
-        """Answer with what the asking relay lacks, or with everything after a gap."""
+        """Send the changes that a relay missed, or all endpoints if they are no longer known."""
         self._peers[connection] = None
-        if self._heartbeat_at is None:
-            self._heartbeat_at = now + self._heartbeat
-        known = request.relay_incarnation == self._incarnation
-        changes = self._table.own_since(request.have_sequence) if known else None
+        if self._next_heartbeat_at is None:
+            self._next_heartbeat_at = now + self._heartbeat_interval
+        same_incarnation = request.relay_incarnation == self._incarnation
+        changes = (
+            self._table.local_changes_since(request.have_sequence) if same_incarnation else None
+        )
         if changes is None:
-            return [SendMessage(connection, self._message(0, self._table.own(), full=True))]
+            return [
+                SendMessage(connection, self._message(0, self._table.local_endpoints(), full=True))
+            ]
         return [SendMessage(connection, self._message(request.have_sequence, changes))]
 
-    def closed(self, connection: ConnectionId) -> None:
-        """Forget a relay whose link is gone."""
+    def remove_peer(self, connection: ConnectionId) -> None:
+        """Remove a relay whose link was closed."""
         self._peers.pop(connection, None)
 
     def publish(self, names: Iterable[EndpointName]) -> list[Output]:
-        """Send the own endpoints among those that changed."""
+        """Send those of the changed endpoints that are leased here."""
         entries = [self._table.get(name) for name in sorted(names)]
-        own = [e.endpoint for e in entries if e is not None and e.origin == OWN]
-        if not own:
+        local = [
+            entry.endpoint
+            for entry in entries
+            if entry is not None and entry.origin == LOCAL_ORIGIN
+        ]
+        if not local:
             return []
-        return self._send_all(own)
+        return self._broadcast(local)
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Send a sign of life when it is time, so that a cut link is noticed."""
-        if self._heartbeat_at is None or self._heartbeat_at > now:
+        """Send a heartbeat when due, by which peers detect a broken link."""
+        if self._next_heartbeat_at is None or self._next_heartbeat_at > now:
             return []
-        self._heartbeat_at = now + self._heartbeat if self._peers else None
-        message = self._message(self._told, [])
-        message.to_sequence = self._told
+        self._next_heartbeat_at = now + self._heartbeat_interval if self._peers else None
+        message = self._message(self._sent_sequence, [])
+        message.to_sequence = self._sent_sequence
         return [SendMessage(peer, message) for peer in self._peers]
 
     def next_deadline(self) -> float | None:
         """Return when ``on_deadline`` is to be called, or ``None``."""
-        return self._heartbeat_at
+        return self._next_heartbeat_at
 
-    def _send_all(self, endpoints: list[Endpoint]) -> list[Output]:
-        message = self._message(self._told, endpoints)
-        self._told = self._table.own_changes
+    def _broadcast(self, endpoints: list[Endpoint]) -> list[Output]:
+        message = self._message(self._sent_sequence, endpoints)
+        self._sent_sequence = self._table.last_local_change
         return [SendMessage(peer, message) for peer in self._peers]
 
     def _message(
         self, from_sequence: int, endpoints: list[Endpoint], full: bool = False
     ) -> EndpointSync:
         return EndpointSync(
-            relay=self._relay,
+            relay=self._relay_name,
             relay_incarnation=self._incarnation,
             from_sequence=from_sequence,
-            to_sequence=self._table.own_changes,
+            to_sequence=self._table.last_local_change,
             full=full,
             endpoints=endpoints,
         )
--- a/src/limelever/relay/endpoint_table.py
+++ b/src/limelever/relay/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The endpoint table of a relay: own agents by lease, other relays' agents by their word.
+"""The endpoint table of a relay: endpoints leased here, and those replicated from other relays.
 
-Soft state: nothing here is on disk, a restarted relay hears it all again. The newer
-(incarnation, sequence) always wins, whoever tells of it.
+All of it is soft state: it is not stored on disk, and a restarted relay receives it again. Of two
+states the one with the higher (incarnation, sequence) wins, whatever its source.
 """
 
 from __future__ import annotations
@@ -20,218 +20,233 @@
     MachineNotice,
 )
 from limelever.relay.endpoint_entry import (
-    OWN,
+    LOCAL_ORIGIN,
+    EndpointEntry,
     EndpointName,
-    Entry,
-    Rank,
-    as_stored,
-    held_back,
+    Precedence,
+    effective_state,
     is_visible_change,
+    stored_copy,
 )
-from limelever.relay.expiry_queue import Expiry
+from limelever.relay.expiry_queue import ExpiryQueue
 
 
 class TableSettings(Struct, frozen=True):
-    """Durations in seconds: of tombstones, and of a lost relay's endpoints."""
+    """How long tombstones and the endpoints of a disconnected relay are kept, in seconds."""
 
     tombstone: float = 60.0
     relay_grace: float = 20.0
 
 
 class EndpointTable:
-    """Endpoints by name. Methods return the names whose change others need to hear of."""
+    """Endpoints by name. Methods that change it return the names that must be published."""
 
     def __init__(self, settings: TableSettings) -> None:
         self._settings = settings
-        self._entries: dict[EndpointName, Entry] = {}
-        self._by_service: defaultdict[str, set[EndpointName]] = defaultdict(set)
-        self._by_instance: defaultdict[str, set[EndpointName]] = defaultdict(set)
-        self._by_origin: defaultdict[str, set[EndpointName]] = defaultdict(set)
-        self._notices: dict[str, MachineNotice] = {}
-        self._expiry = Expiry()
-        self._own_changes = 0
-        self._forgotten_changes = 0
+        self._entries: dict[EndpointName, EndpointEntry] = {}
+        self._names_by_service: defaultdict[str, set[EndpointName]] = defaultdict(set)
+        self._names_by_instance: defaultdict[str, set[EndpointName]] = defaultdict(set)
+        self._names_by_origin: defaultdict[str, set[EndpointName]] = defaultdict(set)
+        self._notice_by_instance: dict[str, MachineNotice] = {}
+        self._expiry_queue = ExpiryQueue()
+        self._last_local_change = 0
+        self._last_dropped_change = 0
 
     @property
-    def own_changes(self) -> int:
-        """Number of the last change of an own endpoint."""
-        return self._own_changes
+    def last_local_change(self) -> int:
+        """The sequence number of the last change of an endpoint leased here."""
+        return self._last_local_change
 
-    def get(self, name: EndpointName) -> Entry | None:
-        """Return an entry, tombstones included."""
+    def get(self, name: EndpointName) -> EndpointEntry | None:
+        """Return an entry, which may be a tombstone, or ``None``."""
         return self._entries.get(name)
 
     def of_service(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a service that are not gone, sorted by name."""
-        return self._living(self._by_service.get(service, ()))
+        return self._live_endpoints(self._names_by_service.get(service, ()))
 
-    def living(self) -> list[Endpoint]:
+    def live_endpoints(self) -> list[Endpoint]:
         """Return every endpoint that is not gone, sorted by name."""
-        return self._living(self._entries)
+        return self._live_endpoints(self._entries)
 
-    def own(self) -> list[Endpoint]:
+    def local_endpoints(self) -> list[Endpoint]:
         """Return the endpoints leased here that are not gone, sorted by name."""
-        return self._living(self._by_origin.get(OWN, ()))
+        return self._live_endpoints(self._names_by_origin.get(LOCAL_ORIGIN, ()))
 
     @property
     def relay_grace(self) -> float:
-        """How long a lost relay's endpoints are kept, in seconds."""
+        """How long a disconnected relay's endpoints are kept, in seconds."""
         return self._settings.relay_grace
 
-    def own_since(self, change: int) -> list[Endpoint] | None:
-        """Return own endpoints changed after ``change``, or ``None`` when some are forgotten."""
-        if change < self._forgotten_changes:
+    def local_changes_since(self, local_change: int) -> list[Endpoint] | None:
+        """Return the endpoints leased here that changed after a change, by sequence number.
+
+        Returns ``None`` if a tombstone of a later change was removed.
+        """
+        if local_change < self._last_dropped_change:
             return None
-        entries = [self._entries[name] for name in sorted(self._by_origin.get(OWN, ()))]
-        return [entry.endpoint for entry in entries if entry.change > change]
+        entries = [
+            self._entries[name] for name in sorted(self._names_by_origin.get(LOCAL_ORIGIN, ()))
+        ]
+        return [entry.endpoint for entry in entries if entry.local_change > local_change]
 
-    def offer(
+    def merge(
         self, endpoint: Endpoint, origin: str, expires_at: float | None, now: float
     ) -> list[EndpointName]:
-        """Take a notion of an endpoint from its agent (``OWN``) or from another relay."""
+        """Merge the state of an endpoint from its agent (``LOCAL_ORIGIN``) or another relay."""
         name = EndpointName.of(endpoint)
-        held = self._entries.get(name)
-        if held is not None and Rank.of(endpoint) <= Rank.of(held.endpoint):
-            self._refresh(name, held, origin, expires_at)
-            return self._drain_late(name, endpoint)
-        same_incarnation = held is not None and held.endpoint.incarnation == endpoint.incarnation
-        drained = held is not None and same_incarnation and held.drained
-        drained = drained or self._noticed(endpoint) or endpoint.state == ENDPOINT_STATE_DRAINING
-        stored = as_stored(endpoint, held_back(endpoint.state, drained))
+        current = self._entries.get(name)
+        if current is not None and Precedence.of(endpoint) <= Precedence.of(current.endpoint):
+            self._renew(name, current, origin, expires_at)
+            return self._apply_outdated_drain(name, endpoint)
+        same_incarnation = (
+            current is not None and current.endpoint.incarnation == endpoint.incarnation
+        )
+        drained = current is not None and same_incarnation and current.drained
+        drained = drained or self._has_notice(endpoint) or endpoint.state == ENDPOINT_STATE_DRAINING
+        stored = stored_copy(endpoint, effective_state(endpoint.state, drained))
         if stored.state == ENDPOINT_STATE_GONE:
             expires_at = now + self._settings.tombstone
-        return self._store(name, Entry(stored, origin, expires_at, drained))
+        return self._store(name, EndpointEntry(stored, origin, expires_at, drained))
 
     def expire(self, now: float) -> list[EndpointName]:
-        """End the leases and graces that are over; drop tombstones whose time has passed."""
+        """End expired leases and grace periods, and remove expired tombstones."""
         changed: list[EndpointName] = []
-        for name in self._expiry.due(now, self._expires_at):
+        for name in self._expiry_queue.pop_due(now, self._expires_at):
             entry = self._entries[name]
-            if entry.gone:
-                self._drop(name, entry)
+            if entry.is_tombstone:
+                self._remove(name, entry)
             else:
-                changed.extend(self._bury(name, entry, now))
+                changed.extend(self._replace_by_tombstone(name, entry, now))
         return changed
 
-    def confirm_origin(self, origin: str, unlisted: Container[EndpointName]) -> None:
-        """Note that what is known from another relay is still so, but for ``unlisted``."""
-        for name in tuple(self._by_origin.get(origin, ())):
+    def cancel_grace(self, origin: str, unlisted: Container[EndpointName]) -> None:
+        """Keep the endpoints of a reconnected relay, except ``unlisted``, without a time limit."""
+        for name in tuple(self._names_by_origin.get(origin, ())):
             entry = self._entries[name]
-            if not entry.gone and name not in unlisted:
+            if not entry.is_tombstone and name not in unlisted:
                 self._entries[name] = replace(entry, expires_at=None)
 
-    def doubt_origin(
+    def start_grace(
         self, origin: str, listed: Container[EndpointName], now: float
     ) -> set[EndpointName]:
-        """Keep what another relay told of for the grace only, but for what is ``listed``.
+        """Let the endpoints of another relay, except ``listed``, expire after the grace period.
 
-        Returns the endpoints in doubt; the grace of those that were so before runs on.
+        Returns the endpoints that will expire. Grace periods that run already are not extended.
         """
-        doubted: set[EndpointName] = set()
-        for name in tuple(self._by_origin.get(origin, ())):
+        expiring: set[EndpointName] = set()
+        for name in tuple(self._names_by_origin.get(origin, ())):
             entry = self._entries[name]
-            if name in listed or entry.gone:
+            if name in listed or entry.is_tombstone:
                 continue
-            doubted.add(name)
+            expiring.add(name)
             if entry.expires_at is None:
                 self._put(name, replace(entry, expires_at=now + self._settings.relay_grace))
-        return doubted
+        return expiring
 
-    def take_notices(self, notices: Iterable[MachineNotice], now: float) -> list[EndpointName]:
-        """Take the platform list: it may only mark machines as leaving or dead.
+    def apply_machine_notices(
+        self, notices: Iterable[MachineNotice], now: float
+    ) -> list[EndpointName]:
+        """Apply the platform's list of leaving and dead machines.
 
-        An entry with a higher incarnation than the list had seen wins over it. A machine called
-        dead whose lease still stands here is marked as draining: the list lags.
+        The list lags behind: it does not apply to incarnations that are newer than the one it
+        names, and a dead machine that holds a lease here is only marked as draining.
         """
-        self._notices = {notice.instance: notice for notice in notices}
+        self._notice_by_instance = {notice.instance: notice for notice in notices}
         changed: list[EndpointName] = []
-        for notice in self._notices.values():
-            for name in sorted(self._by_instance.get(notice.instance, ())):
-                changed.extend(self._mark(name, notice, now))
+        for notice in self._notice_by_instance.values():
+            for name in sorted(self._names_by_instance.get(notice.instance, ())):
+                changed.extend(self._apply_notice(name, notice, now))
         return changed
 
     def next_deadline(self) -> float | None:
         """Return when ``expire`` is to be called (seconds, monotonic), or ``None``."""
-        return self._expiry.next_deadline()
+        return self._expiry_queue.next_deadline()
 
-    def _drain_late(self, name: EndpointName, late: Endpoint) -> list[EndpointName]:
-        """Heed old news of a drain, which is sticky whatever came before it."""
-        held = self._entries[name]
-        same_incarnation = held.endpoint.incarnation == late.incarnation
-        if held.drained or not same_incarnation or late.state != ENDPOINT_STATE_DRAINING:
+    def _apply_outdated_drain(self, name: EndpointName, outdated: Endpoint) -> list[EndpointName]:
+        """Apply a drain from an outdated state, as an incarnation that drained stays drained."""
+        current = self._entries[name]
+        same_incarnation = current.endpoint.incarnation == outdated.incarnation
+        if current.drained or not same_incarnation or outdated.state != ENDPOINT_STATE_DRAINING:
             return []
-        return self._drain(name, held)
+        return self._drain(name, current)
 
-    def _drain(self, name: EndpointName, entry: Entry) -> list[EndpointName]:
-        state = held_back(entry.endpoint.state, drained=True)
-        endpoint = as_stored(entry.endpoint, state)
+    def _drain(self, name: EndpointName, entry: EndpointEntry) -> list[EndpointName]:
+        state = effective_state(entry.endpoint.state, drained=True)
+        endpoint = stored_copy(entry.endpoint, state)
         return self._store(name, replace(entry, endpoint=endpoint, drained=True))
 
-    def _mark(self, name: EndpointName, notice: MachineNotice, now: float) -> list[EndpointName]:
+    def _apply_notice(
+        self, name: EndpointName, notice: MachineNotice, now: float
+    ) -> list[EndpointName]:
         entry = self._entries[name]
-        if entry.gone or entry.endpoint.incarnation > notice.observed_incarnation:
+        if entry.is_tombstone or entry.endpoint.incarnation > notice.observed_incarnation:
             return []
-        if notice.state == ENDPOINT_STATE_GONE and entry.origin != OWN:
-            return self._bury(name, entry, now)
+        if notice.state == ENDPOINT_STATE_GONE and entry.origin != LOCAL_ORIGIN:
+            return self._replace_by_tombstone(name, entry, now)
         if entry.endpoint.state != ENDPOINT_STATE_READY:
             return []
         return self._drain(name, entry)
 
-    def _noticed(self, endpoint: Endpoint) -> bool:
-        notice = self._notices.get(endpoint.instance)
+    def _has_notice(self, endpoint: Endpoint) -> bool:
+        notice = self._notice_by_instance.get(endpoint.instance)
         return notice is not None and endpoint.incarnation <= notice.observed_incarnation
 
-    def _living(self, names: Iterable[EndpointName]) -> list[Endpoint]:
+    def _live_endpoints(self, names: Iterable[EndpointName]) -> list[Endpoint]:
         entries = [self._entries[name] for name in sorted(names)]
-        return [entry.endpoint for entry in entries if not entry.gone]
+        return [entry.endpoint for entry in entries if not entry.is_tombstone]
 
-    def _bury(self, name: EndpointName, entry: Entry, now: float) -> list[EndpointName]:
-        stored = as_stored(entry.endpoint, ENDPOINT_STATE_GONE)
+    def _replace_by_tombstone(
+        self, name: EndpointName, entry: EndpointEntry, now: float
+    ) -> list[EndpointName]:
+        stored = stored_copy(entry.endpoint, ENDPOINT_STATE_GONE)
         expires_at = now + self._settings.tombstone
         return self._store(name, replace(entry, endpoint=stored, expires_at=expires_at))
 
-    def _refresh(
-        self, name: EndpointName, held: Entry, origin: str, expires_at: float | None
+    def _renew(
+        self, name: EndpointName, current: EndpointEntry, origin: str, expires_at: float | None
     ) -> None:
-        if held.origin == origin and not held.gone:
-            self._put(name, replace(held, expires_at=expires_at))
-
-    def _store(self, name: EndpointName, entry: Entry) -> list[EndpointName]:
-        held = self._entries.get(name)
-        visible = is_visible_change(held.endpoint if held else None, entry.endpoint)
-        moved_here = entry.origin == OWN and (held is None or held.origin != OWN)
-        if entry.origin == OWN and (visible or moved_here):
-            self._own_changes += 1
-            entry = replace(entry, change=self._own_changes)
-        elif held is not None:
-            entry = replace(entry, change=held.change)
+        if current.origin == origin and not current.is_tombstone:
+            self._put(name, replace(current, expires_at=expires_at))
+
+    def _store(self, name: EndpointName, entry: EndpointEntry) -> list[EndpointName]:
+        current = self._entries.get(name)
+        visible = is_visible_change(current.endpoint if current else None, entry.endpoint)
+        newly_local = entry.origin == LOCAL_ORIGIN and (
+            current is None or current.origin != LOCAL_ORIGIN
+        )
+        if entry.origin == LOCAL_ORIGIN and (visible or newly_local):
+            self._last_local_change += 1
+            entry = replace(entry, local_change=self._last_local_change)
+        elif current is not None:
+            entry = replace(entry, local_change=current.local_change)
         self._put(name, entry)
-        return [name] if visible or moved_here else []
+        return [name] if visible or newly_local else []
 
-    def _put(self, name: EndpointName, entry: Entry) -> None:
-        held = self._entries.get(name)
-        if held is not None and held.origin != entry.origin:
-            self._by_origin[held.origin].discard(name)
+    def _put(self, name: EndpointName, entry: EndpointEntry) -> None:
+        current = self._entries.get(name)
+        if current is not None and current.origin != entry.origin:
+            self._names_by_origin[current.origin].discard(name)
         self._entries[name] = entry
-        self._by_origin[entry.origin].add(name)
-        self._by_service[name.service].add(name)
-        self._by_instance[name.instance].add(name)
+        self._names_by_origin[entry.origin].add(name)
+        self._names_by_service[name.service].add(name)
+        self._names_by_instance[name.instance].add(name)
         if entry.expires_at is not None:
-            self._expiry.schedule(name, entry.expires_at)
+            self._expiry_queue.schedule(name, entry.expires_at)
 
-    def _drop(self, name: EndpointName, entry: Entry) -> None:
+    def _remove(self, name: EndpointName, entry: EndpointEntry) -> None:
         del self._entries[name]
         indexes = (
-            (self._by_origin, entry.origin),
-            (self._by_service, name.service),
-            (self._by_instance, name.instance),
+            (self._names_by_origin, entry.origin),
+            (self._names_by_service, name.service),
+            (self._names_by_instance, name.instance),
         )
         for index, key in indexes:
             index[key].discard(name)
             if not index[key]:
                 del index[key]
-        if entry.origin == OWN:
-            self._forgotten_changes = max(self._forgotten_changes, entry.change)
+        if entry.origin == LOCAL_ORIGIN:
+            self._last_dropped_change = max(self._last_dropped_change, entry.local_change)
 
     def _expires_at(self, name: EndpointName) -> float | None:
         entry = self._entries.get(name)
--- a/src/limelever/relay/interface.py
+++ b/src/limelever/relay/interface.py
@@ -1,4 +1,4 @@
-"""What passes between the relay's core and its shell beyond the common contract."""
+"""Events and outputs between the relay's core and its shell, besides the common ones."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class PlatformListRead(Event, frozen=True):
-    """The platform's list of machines was read: those leaving or dead, and no others."""
+    """The platform's list of machines was read; ``notices`` names those leaving or dead."""
 
     notices: tuple[MachineNotice, ...]
 
 
 class RelaysKnown(Event, frozen=True):
-    """The addresses of all relays, this one's own included, as they are known now."""
+    """The current addresses of all relays, including this one."""
 
     addresses: tuple[Address, ...]
 
 
 class StopRequested(Event, frozen=True):
-    """A planned stop: subscribers and agents are told to move at once."""
+    """A planned stop: subscribers and agents are asked to change to another relay at once."""
 
 
 class RelayReady(Output, frozen=True):
--- a/src/limelever/relay/leases.py
+++ b/src/limelever/relay/leases.py
@@ -1,4 +1,4 @@
-"""Registration links: agents register, renew and end their leases here."""
+"""Leases of endpoints: agents register, renew and end them on registration links."""
 
 from __future__ import annotations
 
@@ -21,83 +21,83 @@
     Register,
 )
 from limelever.relay import events
-from limelever.relay.endpoint_entry import OWN, EndpointName
+from limelever.relay.endpoint_entry import LOCAL_ORIGIN, EndpointName
 from limelever.relay.endpoint_table import EndpointTable
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 OLDER_INCARNATION = "a newer incarnation is registered"
 UNKNOWN_LEASE = "no lease is held on this link"
 
 
 class LeaseResult(Struct):
-    """What a message led to: outputs, and the endpoints others need to hear of."""
+    """The outputs of a message, and the endpoints that must be published."""
 
     outputs: list[Output] = field(default_factory=list)
     changed: list[EndpointName] = field(default_factory=list)
 
 
 class Leases:
-    """Grants leases of ``lease`` seconds. A link that closes ends none: only time does."""
+    """Grants leases of ``lease_duration`` seconds, which outlive their link."""
 
-    def __init__(self, table: EndpointTable, lease: float) -> None:
+    def __init__(self, table: EndpointTable, lease_duration: float) -> None:
         self._table = table
-        self._lease = lease
-        self._registered: dict[ConnectionId, Endpoint] = {}
+        self._lease_duration = lease_duration
+        self._endpoint_by_link: dict[ConnectionId, Endpoint] = {}
 
     def handle(self, connection: ConnectionId, message: Message, now: float) -> LeaseResult:
-        """Take an agent's message; others than ``Register`` and ``LeaseRenew`` are ignored."""
+        """Handle a ``Register`` or ``LeaseRenew`` message; others are ignored."""
         if isinstance(message, Register):
             return self._register(connection, message.endpoint, now)
         if isinstance(message, LeaseRenew):
             return self._renew(connection, message, now)
         return LeaseResult()
 
-    def reporting(self, connection: ConnectionId) -> Endpoint | None:
-        """Return the endpoint that is registered on a link."""
-        return self._registered.get(connection)
+    def registered_endpoint(self, connection: ConnectionId) -> Endpoint | None:
+        """Return the endpoint that is registered on a link, or ``None``."""
+        return self._endpoint_by_link.get(connection)
 
-    def closed(self, connection: ConnectionId) -> None:
-        """Forget a link that is gone; the lease runs on, the agent may come back elsewhere."""
-        self._registered.pop(connection, None)
+    def connection_closed(self, connection: ConnectionId) -> None:
+        """Release a closed link; the lease runs on, as the agent may register again elsewhere."""
+        self._endpoint_by_link.pop(connection, None)
 
     def connections(self) -> tuple[ConnectionId, ...]:
         """Return the links on which leases are held."""
-        return tuple(self._registered)
+        return tuple(self._endpoint_by_link)
 
     def _register(self, connection: ConnectionId, endpoint: Endpoint, now: float) -> LeaseResult:
-        held = self._table.get(EndpointName.of(endpoint))
-        if held is not None and held.endpoint.incarnation > endpoint.incarnation:
-            return _refused(connection, endpoint)
+        current = self._table.get(EndpointName.of(endpoint))
+        if current is not None and current.endpoint.incarnation > endpoint.incarnation:
+            return _refuse(connection, endpoint)
         registered = Endpoint()
         registered.CopyFrom(endpoint)
-        self._registered[connection] = registered
-        return self._granted(connection, registered, now)
+        self._endpoint_by_link[connection] = registered
+        return self._grant(connection, registered, now)
 
     def _renew(self, connection: ConnectionId, message: LeaseRenew, now: float) -> LeaseResult:
-        registered = self._registered.get(connection)
+        registered = self._endpoint_by_link.get(connection)
         if registered is None or registered.incarnation != message.incarnation:
             lost = LeaseLost(incarnation=message.incarnation, reason=UNKNOWN_LEASE)
             return LeaseResult([SendMessage(connection, lost)])
-        held = self._table.get(EndpointName.of(registered))
-        if held is not None and held.endpoint.incarnation > message.incarnation:
-            return _refused(connection, registered)
+        current = self._table.get(EndpointName.of(registered))
+        if current is not None and current.endpoint.incarnation > message.incarnation:
+            return _refuse(connection, registered)
         registered.sequence = message.sequence
         registered.state = message.state
-        return self._granted(connection, registered, now)
+        return self._grant(connection, registered, now)
 
-    def _granted(self, connection: ConnectionId, endpoint: Endpoint, now: float) -> LeaseResult:
-        changed = self._table.offer(endpoint, OWN, now + self._lease, now)
+    def _grant(self, connection: ConnectionId, endpoint: Endpoint, now: float) -> LeaseResult:
+        changed = self._table.merge(endpoint, LOCAL_ORIGIN, now + self._lease_duration, now)
         if endpoint.state == ENDPOINT_STATE_GONE:
-            self._registered.pop(connection, None)
+            self._endpoint_by_link.pop(connection, None)
             return LeaseResult(changed=changed)
         granted = LeaseGranted(
-            lease_ms=int(self._lease * _MILLISECONDS), incarnation=endpoint.incarnation
+            lease_ms=int(self._lease_duration * _MS_PER_SECOND), incarnation=endpoint.incarnation
         )
         return LeaseResult([SendMessage(connection, granted)], changed)
 
 
-def _refused(connection: ConnectionId, endpoint: Endpoint) -> LeaseResult:
-    """Refuse an older incarnation, and close the link so that it does not ask again at once."""
+def _refuse(connection: ConnectionId, endpoint: Endpoint) -> LeaseResult:
+    """Refuse an older incarnation, and close the link so that it does not retry at once."""
     fields: dict[str, object] = {"agent": endpoint.instance, "reason": OLDER_INCARNATION}
     lost = LeaseLost(incarnation=endpoint.incarnation, reason=OLDER_INCARNATION)
     return LeaseResult(
--- a/src/limelever/relay/limit_exchange.py
+++ b/src/limelever/relay/limit_exchange.py
@@ -1,4 +1,4 @@
-"""The relay's side of limits: the board, the limits of the configuration, and who told what."""
+"""Connects the limit coordinator to the configuration and the links of the relay."""
 
 from __future__ import annotations
 
@@ -11,67 +11,69 @@
 from limelever.limits.tenant_hash import tenant_hash
 from limelever.protocol.config_pb2 import RESOURCE_KIND_TENANT, VersionedResource
 from limelever.protocol.limits_pb2 import TenantUse
-from limelever.relay.limit_coordinator import LimitBoard
+from limelever.relay.limit_coordinator import LimitCoordinator
 from limelever.subscriber.notices import ConfigurationInstalled
 
 
 class LimitExchange:
-    """Feeds the board of one relay; times in seconds, monotonic."""
+    """Passes limits and usage reports to the coordinator; times in seconds, monotonic."""
 
     def __init__(self, rules: LimitRules) -> None:
-        self._board = LimitBoard(rules)
-        self._limits: dict[int, Limit] = {}
-        self._known = False
-
-    def configured(self, installed: ConfigurationInstalled, now: float) -> None:
-        """Take the limits of a version that is in force from now on."""
-        before = dict(self._limits)
-        if not self._known:
-            self._known = True
-            self._put(installed.configuration.resources.values())
+        self._coordinator = LimitCoordinator(rules)
+        self._limit_by_tenant: dict[int, Limit] = {}
+        self._initialized = False
+
+    def apply_configuration(self, installed: ConfigurationInstalled, now: float) -> None:
+        """Apply the tenants' limits of a configuration version that was installed."""
+        previous = dict(self._limit_by_tenant)
+        if not self._initialized:
+            self._initialized = True
+            self._put_limits(installed.configuration.resources.values())
         for key in installed.removed:
             if key.kind == RESOURCE_KIND_TENANT:
-                self._limits.pop(tenant_hash(key.name), None)
-        self._put(installed.put)
-        if self._limits != before:
-            self._board.set_limits(dict(self._limits), now)
-
-    def proxy_told(self, connection: ConnectionId, peer: Peer, use: TenantUse, now: float) -> None:
-        """Take what a proxy here let in and refused."""
-        self._board.join(connection, peer.name)
-        self._board.from_proxy(connection, use, now)
-
-    def relay_joined(self, connection: ConnectionId, now: float) -> list[Output]:
-        """Tell another relay of the use here from now on."""
-        return self._board.join_relay(connection, now)
-
-    def relay_told(self, address: Address, message: Message, now: float) -> None:
-        """Take what another relay told of its proxies, if that is what the message is."""
+                self._limit_by_tenant.pop(tenant_hash(key.name), None)
+        self._put_limits(installed.put)
+        if self._limit_by_tenant != previous:
+            self._coordinator.set_limits(dict(self._limit_by_tenant), now)
+
+    def handle_proxy_report(
+        self, connection: ConnectionId, peer: Peer, report: TenantUse, now: float
+    ) -> None:
+        """Handle the calls that a proxy of this relay admitted and refused."""
+        self._coordinator.add_proxy(connection, peer.name)
+        self._coordinator.handle_proxy_report(connection, report, now)
+
+    def add_relay(self, connection: ConnectionId, now: float) -> list[Output]:
+        """Report the usage at this relay's proxies to another relay from now on."""
+        return self._coordinator.add_relay(connection, now)
+
+    def handle_relay_message(self, address: Address, message: Message, now: float) -> None:
+        """Handle a message of another relay if it is a usage report."""
         if isinstance(message, TenantUse):
-            self._board.from_relay(str(address), message, now)
+            self._coordinator.handle_relay_report(str(address), message, now)
 
-    def relay_lost(self, address: Address) -> None:
-        """Take that the link to another relay is gone."""
-        self._board.relay_lost(str(address))
+    def relay_disconnected(self, address: Address) -> None:
+        """Discard the usage of a relay whose link was lost."""
+        self._coordinator.relay_disconnected(str(address))
 
-    def closed(self, connection: ConnectionId) -> None:
-        """Forget an accepted link that is gone."""
-        self._board.leave(connection)
+    def connection_closed(self, connection: ConnectionId) -> None:
+        """Release the state of an accepted link that was closed."""
+        self._coordinator.remove(connection)
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Tell what is due."""
-        return self._board.on_deadline(now)
+        """Send the reports and updates that are due."""
+        return self._coordinator.on_deadline(now)
 
     def next_deadline(self) -> float | None:
         """Return when ``on_deadline`` is to be called, or ``None``."""
-        return self._board.next_at
+        return self._coordinator.next_at
 
-    def _put(self, resources: Iterable[VersionedResource]) -> None:
-        for each in resources:
-            if each.resource.WhichOneof("body") != "tenant":
+    def _put_limits(self, resources: Iterable[VersionedResource]) -> None:
+        for versioned in resources:
+            if versioned.resource.WhichOneof("body") != "tenant":
                 continue
-            tenant = each.resource.tenant
-            number = tenant_hash(tenant.name)
-            self._limits.pop(number, None)
+            tenant = versioned.resource.tenant
+            hashed_name = tenant_hash(tenant.name)
+            self._limit_by_tenant.pop(hashed_name, None)
             if tenant.rate_per_s > 0:
-                self._limits[number] = Limit(tenant.rate_per_s, tenant.burst)
+                self._limit_by_tenant[hashed_name] = Limit(tenant.rate_per_s, tenant.burst)
--- a/src/limelever/relay/peer_relay.py
+++ b/src/limelever/relay/peer_relay.py
@@ -1,4 +1,4 @@
-"""The link to one other relay, from which its agents' endpoints come."""
+"""The link to another relay, over which the endpoints leased there are replicated."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from limelever.relay.endpoint_entry import EndpointName
 from limelever.relay.endpoint_table import EndpointTable
 
-SILENT = "no sign of life"
+IDLE_TIMEOUT_REASON = "idle timeout"
 
 
 class PeerRelay:
-    """Dials one relay and keeps its endpoints; on a loss they stay for the table's grace.
+    """Dials one relay and replicates its endpoints; times in seconds, monotonic.
 
-    ``silent_after`` is the time in seconds without any message after which a link counts as
-    cut, although it still seems open.
+    The endpoints stay for the table's grace period when the link is lost. A link without any
+    message for ``idle_timeout`` counts as lost.
     """
 
     def __init__(
@@ -45,76 +45,79 @@
         connections: DialledConnections,
         backoff: BackoffSettings,
         generator: random.Random,
-        silent_after: float,
+        idle_timeout: float,
     ) -> None:
         self.address = address
         self._table = table
         self._connections = connections
         self._backoff = Backoff(backoff, generator)
-        self._silent_after = silent_after
+        self._idle_timeout = idle_timeout
         self._connection: ConnectionId | None = None
         self._dial_at: float | None = None
-        self._silent_at: float | None = None
-        self._relay = ""
+        self._idle_deadline: float | None = None
+        self._relay_name = ""
         self._incarnation = 0
         self._sequence = 0
-        self._resuming = False
-        self._lost_at: float | None = None
+        self._is_resuming = False
+        self._disconnected_at: float | None = None
         self._unlisted: set[EndpointName] = set()
         self.changed: list[EndpointName] = []
 
     def owns(self, connection: ConnectionId) -> bool:
-        """Return whether the link is the one to this relay."""
+        """Return whether the link leads to this relay."""
         return connection == self._connection
 
     @property
     def open_connection(self) -> ConnectionId | None:
-        """The link to the relay while it is open."""
-        return self._connection if self._silent_at is not None else None
+        """The link to the relay while it is open, else ``None``."""
+        return self._connection if self._idle_deadline is not None else None
 
     def start(self, now: float) -> None:
         """Dial at the next deadline."""
         self._dial_at = now
 
     def stop(self) -> list[Output]:
-        """Close the link and dial no more."""
+        """Close the link and stop dialling."""
         connection, self._connection = self._connection, None
-        self._dial_at = self._silent_at = None
+        self._dial_at = self._idle_deadline = None
         return [CloseConnection(connection, "planned stop")] if connection is not None else []
 
-    def dismiss(self, now: float) -> list[Output]:
-        """Stop, and keep the relay's endpoints for the table's grace only."""
-        if self._relay:
-            self._table.doubt_origin(self._relay, (), now)
+    def retire(self, now: float) -> list[Output]:
+        """Stop, and let the relay's endpoints expire after the grace period."""
+        if self._relay_name:
+            self._table.start_grace(self._relay_name, (), now)
         return self.stop()
 
     def take_changed(self) -> list[EndpointName]:
-        """Return the endpoints that changed since this was last called."""
+        """Return the endpoints that changed since the last call."""
         changed, self.changed = self.changed, []
         return changed
 
     def handle(self, event: Event, now: float) -> list[Output]:
-        """Take an event of the link."""
+        """Handle an event of the link."""
         match event:
             case ConnectionOpened(connection, _):
-                self._silent_at = now + self._silent_after
-                self._resuming = True
-                self._forget_what_expired(now)
-                return [self._request(connection)]
+                self._idle_deadline = now + self._idle_timeout
+                self._is_resuming = True
+                self._reset_after_grace(now)
+                return [self._sync_request(connection)]
             case ConnectionFailed(_, failure):
-                return self._lost(failure.reason, now)
+                return self._on_disconnected(failure.reason, now)
             case ConnectionClosed(_, reason):
-                return self._lost(reason, now)
+                return self._on_disconnected(reason, now)
             case MessageReceived(connection, message):
                 return self._on_message(connection, message, now)
         return []
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Dial, or give up a silent link, when it is time."""
-        if self._silent_at is not None and self._silent_at <= now:
+        """Dial when due, and close a link whose idle timeout is over."""
+        if self._idle_deadline is not None and self._idle_deadline <= now:
             connection = self._connection
-            outputs = self._lost(SILENT, now)
-            return [*outputs, *([CloseConnection(connection, SILENT)] if connection else [])]
+            outputs = self._on_disconnected(IDLE_TIMEOUT_REASON, now)
+            return [
+                *outputs,
+                *([CloseConnection(connection, IDLE_TIMEOUT_REASON)] if connection else []),
+            ]
         if self._dial_at is None or self._dial_at > now:
             return []
         self._dial_at = None
@@ -123,62 +126,74 @@
 
     def next_deadline(self) -> float | None:
         """Return when ``on_deadline`` is to be called, or ``None``."""
-        return min((t for t in (self._dial_at, self._silent_at) if t is not None), default=None)
+        return min(
+            (deadline for deadline in (self._dial_at, self._idle_deadline) if deadline is not None),
+            default=None,
+        )
 
     def _on_message(self, connection: ConnectionId, message: Message, now: float) -> list[Output]:
         if not isinstance(message, EndpointSync):
             return []
-        self._silent_at = now + self._silent_after
+        self._idle_deadline = now + self._idle_timeout
         self._backoff.reset()
-        if not message.full and self._missed(message):
+        if not message.full and self._has_gap(message):
             self._incarnation = self._sequence = 0
-            return [LogEvent(events.PEER_GAP, {"peer": self._relay}), self._request(connection)]
+            return [
+                LogEvent(events.PEER_GAP, {"peer": self._relay_name}),
+                self._sync_request(connection),
+            ]
         self._apply(message, now)
         return []
 
-    def _missed(self, message: EndpointSync) -> bool:
+    def _has_gap(self, message: EndpointSync) -> bool:
         return (
             message.relay_incarnation != self._incarnation or message.from_sequence > self._sequence
         )
 
     def _apply(self, message: EndpointSync, now: float) -> None:
-        self._relay = message.relay
-        self._lost_at = None
+        self._relay_name = message.relay
+        self._disconnected_at = None
         self._incarnation = message.relay_incarnation
         listed = {EndpointName.of(endpoint) for endpoint in message.endpoints}
         self._unlisted -= listed
         for endpoint in message.endpoints:
-            self.changed.extend(self._table.offer(endpoint, self._relay, None, now))
+            self.changed.extend(self._table.merge(endpoint, self._relay_name, None, now))
         if message.full:
             self._sequence = message.to_sequence
-            self._unlisted = self._table.doubt_origin(self._relay, listed, now)
+            self._unlisted = self._table.start_grace(self._relay_name, listed, now)
         else:
             self._sequence = max(self._sequence, message.to_sequence)
-            if self._resuming:
-                self._table.confirm_origin(self._relay, self._unlisted)
-        self._resuming = False
-
-    def _forget_what_expired(self, now: float) -> None:
-        """Ask for everything after the grace: what had ended here may live on unchanged there."""
-        if self._lost_at is not None and now >= self._lost_at + self._table.relay_grace:
+            if self._is_resuming:
+                self._table.cancel_grace(self._relay_name, self._unlisted)
+        self._is_resuming = False
+
+    def _reset_after_grace(self, now: float) -> None:
+        """Request all endpoints after the grace period, as those expired here may still exist."""
+        if (
+            self._disconnected_at is not None
+            and now >= self._disconnected_at + self._table.relay_grace
+        ):
             self._incarnation = self._sequence = 0
 
-    def _request(self, connection: ConnectionId) -> SendMessage:
+    def _sync_request(self, connection: ConnectionId) -> SendMessage:
         request = EndpointSyncRequest(
             relay_incarnation=self._incarnation, have_sequence=self._sequence
         )
         return SendMessage(connection, request)
 
-    def _lost(self, reason: str, now: float) -> list[Output]:
-        was_open = self._silent_at is not None
+    def _on_disconnected(self, reason: str, now: float) -> list[Output]:
+        was_open = self._idle_deadline is not None
         self._connection = None
-        self._silent_at = None
+        self._idle_deadline = None
         self._dial_at = now + self._backoff.next_delay()
         if not was_open:
             return []
-        if self._lost_at is None:
-            self._lost_at = now
-        if self._relay:
-            self._table.doubt_origin(self._relay, (), now)
-        fields: dict[str, object] = {"peer": self._relay or str(self.address), "reason": reason}
+        if self._disconnected_at is None:
+            self._disconnected_at = now
+        if self._relay_name:
+            self._table.start_grace(self._relay_name, (), now)
+        fields: dict[str, object] = {
+            "peer": self._relay_name or str(self.address),
+            "reason": reason,
+        }
         return [LogEvent(events.PEER_LOST, fields)]
--- a/src/limelever/relay/pending_usage.py
+++ b/src/limelever/relay/pending_usage.py
@@ -1,4 +1,7 @@
-"""Use of limits that other relays have not been told yet: telling bit by bit is dear."""
+"""Calls of tenants that are not reported to other relays yet.
+
+Few calls are held back and reported together later, to save messages.
+"""
 
 from __future__ import annotations
 
@@ -10,39 +13,38 @@
 from limelever.limits.rules import Limit, LimitRules
 from limelever.protocol.limits_pb2 import TenantUse
 
-_UNTOLD_PART = 0.02
-"""Part of a limit's calls that all relays together may keep to themselves for as long: a fifth of
-the usual margin by which a limit may be passed."""
-
+_UNREPORTED_FRACTION = 0.02
+"""Fraction of a limit's calls that all relays together may hold back: a fifth of the default
+``LimitRules.excess``."""
 
-_UNTOLD_SLACK = 0.25
-"""The same part of the slack, on which small tenants live."""
+_UNREPORTED_SLACK_FRACTION = 0.25
+"""Fraction of the slack that they may hold back besides; it matters for small tenants."""
 
-LONGEST = 1.0
-"""Seconds after which whatever is left is told."""
+MAX_REPORT_DELAY = 1.0
+"""Seconds after which all calls are reported, however few."""
 
 
-class _Untold(Struct):
+class _PendingCalls(Struct):
     admitted: int = 0
     refused: int = 0
 
 
-class UseToTell:
-    """What came since it was last told; times in seconds."""
+class PendingUsage:
+    """Call counts since the last report; times in seconds, monotonic."""
 
     def __init__(self) -> None:
-        self._untold: dict[int, _Untold] = {}
-        self._all_at = 0.0
-        self._told_at = 0.0
-        self._proxies = 0
+        self._calls_by_tenant: dict[int, _PendingCalls] = {}
+        self._all_reported_at = 0.0
+        self._last_report_at = 0.0
+        self._reported_proxies = 0
 
     def add(self, tenant: int, admitted: int, refused: int) -> None:
-        """Take calls of a tenant."""
-        untold = self._untold.setdefault(tenant, _Untold())
-        untold.admitted += admitted
-        untold.refused += refused
+        """Add calls of a tenant."""
+        calls = self._calls_by_tenant.setdefault(tenant, _PendingCalls())
+        calls.admitted += admitted
+        calls.refused += refused
 
-    def take(
+    def take_report(
         self,
         rules: LimitRules,
         limits: Mapping[int, Limit],
@@ -50,32 +52,35 @@
         relays: int,
         now: float,
     ) -> TenantUse | None:
-        """Return what is to be told now, with the number of proxies that it stands for.
+        """Remove and return the calls to report now, or ``None`` if no report is due.
 
-        ``relays`` are all that share what may stay untold.
+        ``proxies`` is the number of reachable proxies that report here, ``relays`` that of all
+        relays, which share the calls that may be held back.
         """
-        everything = now - self._all_at >= LONGEST
-        use = TenantUse(proxies=proxies)
-        for tenant, untold in list(self._untold.items()):
+        report_all = now - self._all_reported_at >= MAX_REPORT_DELAY
+        report = TenantUse(proxies=proxies)
+        for tenant, calls in list(self._calls_by_tenant.items()):
             limit = limits.get(tenant)
-            least = _least(rules, limit, relays) if limit is not None else 0.0
-            if everything or untold.admitted + untold.refused > least:
-                del self._untold[tenant]
-                use.tenants.append(tenant)
-                use.admitted.append(untold.admitted)
-                use.refused.append(untold.refused)
-        if not any(use.refused):
-            use.ClearField("refused")
-        if everything:
-            self._all_at = now
-        is_news = bool(use.tenants) or proxies != self._proxies
-        self._proxies = proxies
-        if not is_news and now - self._told_at < KEEPALIVE_INTERVAL:
+            threshold = _report_threshold(rules, limit, relays) if limit is not None else 0.0
+            if report_all or calls.admitted + calls.refused > threshold:
+                del self._calls_by_tenant[tenant]
+                report.tenants.append(tenant)
+                report.admitted.append(calls.admitted)
+                report.refused.append(calls.refused)
+        if not any(report.refused):
+            report.ClearField("refused")
+        if report_all:
+            self._all_reported_at = now
+        has_changes = bool(report.tenants) or proxies != self._reported_proxies
+        self._reported_proxies = proxies
+        if not has_changes and now - self._last_report_at < KEEPALIVE_INTERVAL:
             return None
-        self._told_at = now
-        return use
+        self._last_report_at = now
+        return report
 
 
-def _least(rules: LimitRules, limit: Limit, relays: int) -> float:
-    """Return the calls that one relay may keep to itself."""
-    return (_UNTOLD_PART * rules.nominal_calls(limit) + _UNTOLD_SLACK * rules.slack) / relays
+def _report_threshold(rules: LimitRules, limit: Limit, relays: int) -> float:
+    """Return the calls of a tenant that one relay may hold back."""
+    return (
+        _UNREPORTED_FRACTION * rules.nominal_calls(limit) + _UNREPORTED_SLACK_FRACTION * rules.slack
+    ) / relays
--- a/src/limelever/relay/platform_list.py
+++ b/src/limelever/relay/platform_list.py
@@ -1,7 +1,7 @@
-"""The platform's list of machines: read over HTTP, and turned into notices.
+"""Polls the platform's list of machines over HTTP for those that are leaving or dead.
 
-The answer is a JSON array of ``{"instance", "state", "incarnation"}`` with the states ``live``,
-``leaving`` and ``dead``. The list lags, so it only ever marks machines as leaving or dead.
+The response is a JSON array of ``{"instance", "state", "incarnation"}`` with the states ``live``,
+``leaving`` and ``dead``. As the list lags behind, it never marks a machine as live.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 from limelever.transport.log import write_event
 
 _HTTP_OK = 200
-_LARGEST_INCARNATION = (1 << 64) - 1
-_STATES = {"leaving": ENDPOINT_STATE_DRAINING, "dead": ENDPOINT_STATE_GONE}
+_MAX_INCARNATION = (1 << 64) - 1
+_ENDPOINT_STATES = {"leaving": ENDPOINT_STATE_DRAINING, "dead": ENDPOINT_STATE_GONE}
 
 
 def parse_machines(body: bytes) -> tuple[MachineNotice, ...] | Failure:
-    """Return the notices of a list, or why it does not parse; live machines make none."""
+    """Return notices of the leaving and dead machines, or a failure if the list is invalid."""
     try:
         machines = json.loads(body)
         return tuple(
             MachineNotice(
                 instance=machine["instance"],
-                state=_STATES[machine["state"]],
-                observed_incarnation=min(int(machine["incarnation"]), _LARGEST_INCARNATION),
+                state=_ENDPOINT_STATES[machine["state"]],
+                observed_incarnation=min(int(machine["incarnation"]), _MAX_INCARNATION),
             )
             for machine in machines
-            if machine["state"] in _STATES
+            if machine["state"] in _ENDPOINT_STATES
         )
     except (ValueError, KeyError, TypeError) as error:
-        return Failure(ErrorKind.INVALID_REQUEST, f"platform list does not parse: {error!r}")
+        return Failure(ErrorKind.INVALID_REQUEST, f"invalid platform list: {error!r}")
 
 
 async def poll_machines(
@@ -49,9 +49,9 @@
     path: str,
     interval: float,
     timeout: float,
-    take: Callable[[tuple[MachineNotice, ...]], None],
+    on_notices: Callable[[tuple[MachineNotice, ...]], None],
 ) -> None:
-    """Read the list every ``interval`` seconds for ever; a failure keeps what was last read."""
+    """Read the list every ``interval`` seconds until cancelled; failures are logged."""
     url = f"http://{address}{path}"
     async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
         while True:
@@ -59,7 +59,7 @@
             if isinstance(read, Failure):
                 write_event(events.PLATFORM_LIST_FAILED, {"reason": read.reason})
             else:
-                take(read)
+                on_notices(read)
             await trio.sleep(interval)
 
 
@@ -70,7 +70,9 @@
         with trio.fail_after(timeout):
             response = await pool.request("GET", url)
     except (trio.TooSlowError, httpcore.NetworkError, httpcore.ProtocolError) as error:
-        return Failure(ErrorKind.CONNECTION_FAILED, f"platform list: {error!r}")
+        return Failure(ErrorKind.CONNECTION_FAILED, f"platform list request failed: {error!r}")
     if response.status != _HTTP_OK:
-        return Failure(ErrorKind.CONNECTION_FAILED, f"platform list: status {response.status}")
+        return Failure(
+            ErrorKind.CONNECTION_FAILED, f"platform list request failed: status {response.status}"
+        )
     return parse_machines(response.content)
--- a/src/limelever/relay/process.py
+++ b/src/limelever/relay/process.py
@@ -1,4 +1,4 @@
-"""The relay process: a thin shell around the relay core."""
+"""The relay process: runs the relay core with its links, disk and timers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from limelever.common.settings import seconds
 from limelever.publisher.settings import PublisherSettings
 from limelever.relay.core import RelayCore, RelayOptions
-from limelever.relay.endpoint_exchange import EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointExchangeSettings
 from limelever.relay.endpoint_table import TableSettings
 from limelever.relay.interface import PlatformListRead, RelayReady, StopRequested
 from limelever.relay.sealing import SnapshotSealer
@@ -27,21 +27,21 @@
 from limelever.transport.reload import SettingsFile
 from limelever.transport.runner import CoreRunner
 
-_NANOSECONDS_PER_MILLISECOND = 1_000_000
-_FLUSH_SECONDS = 0.2
-"""Time that the last messages of a planned stop have to leave."""
+_NS_PER_MS = 1_000_000
+_STOP_FLUSH_SECONDS = 0.2
+"""Time to send the last messages of a planned stop."""
 
-ACCEPTED = (Purpose.SUBSCRIPTION, Purpose.REGISTRATION, Purpose.ENDPOINTS)
+ACCEPTED_PURPOSES = (Purpose.SUBSCRIPTION, Purpose.REGISTRATION, Purpose.ENDPOINTS)
 
 
 def run(settings: RelaySettings, *, source: SettingsFile | None = None) -> int:
     """Run the relay until a planned stop or a failure; return the exit status."""
-    incarnation = time.time_ns() // _NANOSECONDS_PER_MILLISECOND
+    incarnation = time.time_ns() // _NS_PER_MS
     return run_role(settings, partial(_main, settings), incarnation=incarnation, source=source)
 
 
 def options_from(settings: RelaySettings, incarnation: int) -> RelayOptions:
-    """Return the core's options."""
+    """Return the options of the relay core for these settings."""
     return RelayOptions(
         name=settings.name,
         incarnation=incarnation,
@@ -83,9 +83,9 @@
     )
 
 
-def _endpoints_settings(settings: RelaySettings) -> EndpointsSettings:
+def _endpoints_settings(settings: RelaySettings) -> EndpointExchangeSettings:
     endpoints = settings.endpoints
-    return EndpointsSettings(
+    return EndpointExchangeSettings(
         peers=settings.peers,
         lease=seconds(endpoints.lease_ms),
         batch=seconds(endpoints.batch_ms),
@@ -109,9 +109,9 @@
     listener: LinkListener,
     on_started: Callable[[CoreRunner, RelayCore], None] = lambda _, __: None,
 ) -> None:
-    """Run a relay within a process until its planned stop; links come by ``listener``.
+    """Run a relay within a process until its planned stop, accepting links from ``listener``.
 
-    ``on_started`` gets the core and its runner, for the process that hosts it.
+    ``on_started`` is called with the runner and the core once the relay listens.
     """
     disk = _open_disk(settings.data_folder)
     core = RelayCore(
@@ -127,7 +127,12 @@
 
     async with trio.open_nursery() as nursery:
         runner = shell.add_core(
-            core, on_output, accepts=ACCEPTED, disk=disk, role=Role.RELAY, listener=listener
+            core,
+            on_output,
+            accepts=ACCEPTED_PURPOSES,
+            disk=disk,
+            role=Role.RELAY,
+            listener=listener,
         )
         shell.report_version(lambda: core.version)
         shell.report_freshness(lambda: core.fresh_at)
@@ -138,7 +143,7 @@
         await shell.stop_requested.wait()
         listener.stop()
         runner.post(StopRequested())
-        await trio.sleep(_FLUSH_SECONDS)
+        await trio.sleep(_STOP_FLUSH_SECONDS)
         nursery.cancel_scope.cancel()
 
 
@@ -146,7 +151,7 @@
     platform = settings.platform_list
     if platform.address is None:
         return
-    # An HTTP client is dear to import, and few sites have such a list.
+    # Imported lazily: the HTTP client is expensive to import and only needed with a platform list.
     from limelever.relay.platform_list import poll_machines
 
     nursery.start_soon(
--- a/src/limelever/relay/remote_usage.py
+++ b/src/limelever/relay/remote_usage.py
@@ -1,7 +1,7 @@
-"""The use of limits at other relays' proxies, with those apart that are out of touch.
+"""Usage of tenants' limits at the proxies of other relays.
 
-What a relay out of touch told counts no more: its proxies may have gone to other relays, which they
-tell, or go on serving unheard, for which their part of each limit is left to them.
+Only reachable relays count. Proxies of an unreachable relay either report to another relay, or go
+on serving with the share of each limit that is reserved for unreachable proxies.
 """
 
 from __future__ import annotations
@@ -12,83 +12,83 @@
 from limelever.limits.usage_window import UsageWindow
 
 
-class _Told(Struct):
+class _RelayUsage(Struct):
     proxies: int = 0
-    at: float = 0.0
-    in_touch: bool = False
+    last_report_at: float = 0.0
+    reachable: bool = False
     windows: dict[int, UsageWindow] = field(default_factory=dict)
 
 
-class UseOfRelays:
-    """Windows by relay and tenant, and their sums over those in touch; times in seconds."""
+class RemoteUsage:
+    """Usage by relay and tenant, and its totals over reachable relays; times in seconds."""
 
     def __init__(self, window: float) -> None:
         self._window = window
-        self._told: dict[str, _Told] = {}
-        self._sums: dict[int, UsageWindow] = {}
-        self._cleaned_at = 0.0
+        self._usage_by_relay: dict[str, _RelayUsage] = {}
+        self._total_by_tenant: dict[int, UsageWindow] = {}
+        self._last_cleanup_at = 0.0
 
     @property
     def proxies(self) -> int:
-        """Return the proxies of the relays in touch."""
-        return sum(each.proxies for each in self._told.values() if each.in_touch)
-
-    def heard(self, address: str, proxies: int, now: float) -> None:
-        """Take that a relay is in touch, and of how many proxies it tells."""
-        told = self._told.setdefault(address, _Told())
-        told.proxies, told.at = proxies, now
-        if not told.in_touch:
-            told.in_touch = True
-            for tenant, window in told.windows.items():
-                self._sum(tenant).merge(window)
+        """Return the number of proxies of the reachable relays."""
+        return sum(relay.proxies for relay in self._usage_by_relay.values() if relay.reachable)
+
+    def mark_reachable(self, address: str, proxies: int, now: float) -> None:
+        """Mark a relay as reachable, and set the number of its proxies."""
+        relay = self._usage_by_relay.setdefault(address, _RelayUsage())
+        relay.proxies, relay.last_report_at = proxies, now
+        if not relay.reachable:
+            relay.reachable = True
+            for tenant, window in relay.windows.items():
+                self._total(tenant).merge(window)
 
     def add(self, address: str, tenant: int, at: float, admitted: int, refused: int) -> None:
-        """Count calls at the proxies of a relay that was just heard."""
-        windows = self._told[address].windows
+        """Count calls at the proxies of a relay that is marked as reachable."""
+        windows = self._usage_by_relay[address].windows
         window = windows.get(tenant)
         if window is None:
             window = windows[tenant] = UsageWindow(self._window)
         window.add(at, admitted, refused)
-        self._sum(tenant).add(at, admitted, refused)
+        self._total(tenant).add(at, admitted, refused)
 
-    def lost(self, address: str) -> None:
-        """Forget what a relay told: a new link begins with all that still counts."""
-        self._silent(address)
-        self._told.pop(address, None)
+    def remove(self, address: str) -> None:
+        """Discard the usage of a relay; a new link starts with a report of the whole window."""
+        self._mark_unreachable(address)
+        self._usage_by_relay.pop(address, None)
 
-    def _silent(self, address: str) -> None:
-        """Count the use at a relay's proxies no more, until it is heard again."""
-        told = self._told.get(address)
-        if told is None or not told.in_touch:
+    def _mark_unreachable(self, address: str) -> None:
+        """Exclude a relay from the totals until it is reachable again."""
+        relay = self._usage_by_relay.get(address)
+        if relay is None or not relay.reachable:
             return
-        told.in_touch = False
-        for tenant, window in told.windows.items():
-            self._sum(tenant).subtract(window)
+        relay.reachable = False
+        for tenant, window in relay.windows.items():
+            self._total(tenant).subtract(window)
 
     def expire(self, now: float) -> None:
-        """Lose the relays that have been silent, and forget what is out of the window."""
-        for address, told in list(self._told.items()):
-            if now - told.at > PEER_TIMEOUT:
-                self._silent(address)
-            if now - told.at > self._window:
-                del self._told[address]
-        if now >= self._cleaned_at + self._window:
-            self._cleaned_at = now
-            for told in self._told.values():
-                _drop_empty(told.windows, now)
-            _drop_empty(self._sums, now)
-
-    def with_own(self, tenant: int, own: UsageWindow | None) -> list[UsageWindow]:
-        """Return the use at the proxies of this relay, and that at all others in touch."""
-        return [use for use in (own, self._sums.get(tenant)) if use is not None]
-
-    def _sum(self, tenant: int) -> UsageWindow:
-        held = self._sums.get(tenant)
-        if held is None:
-            held = self._sums[tenant] = UsageWindow(self._window)
-        return held
+        """Mark silent relays as unreachable, and discard usage that is out of the window."""
+        for address, relay in list(self._usage_by_relay.items()):
+            if now - relay.last_report_at > PEER_TIMEOUT:
+                self._mark_unreachable(address)
+            if now - relay.last_report_at > self._window:
+                del self._usage_by_relay[address]
+        if now >= self._last_cleanup_at + self._window:
+            self._last_cleanup_at = now
+            for relay in self._usage_by_relay.values():
+                _drop_empty(relay.windows, now)
+            _drop_empty(self._total_by_tenant, now)
+
+    def with_local(self, tenant: int, local: UsageWindow | None) -> list[UsageWindow]:
+        """Return the usage at this relay's proxies and the total of the reachable relays."""
+        return [usage for usage in (local, self._total_by_tenant.get(tenant)) if usage is not None]
+
+    def _total(self, tenant: int) -> UsageWindow:
+        total = self._total_by_tenant.get(tenant)
+        if total is None:
+            total = self._total_by_tenant[tenant] = UsageWindow(self._window)
+        return total
 
 
 def _drop_empty(windows: dict[int, UsageWindow], now: float) -> None:
-    for tenant in [tenant for tenant, use in windows.items() if use.is_empty(now)]:
+    for tenant in [tenant for tenant, usage in windows.items() if usage.is_empty(now)]:
         del windows[tenant]
--- a/src/limelever/relay/sealing.py
+++ b/src/limelever/relay/sealing.py
@@ -1,7 +1,7 @@
-"""Sealing of the relay's snapshot on disk: AES-256-SIV with keys from the settings.
+"""Encryption of the relay's snapshot on disk: AES-256-SIV with keys from the settings.
 
-SIV needs no random nonce, which a core could not draw; the price is that equal snapshots give
-equal bytes, which tells a reader of the disk no more than the file's time of change does.
+SIV needs no random nonce, which a deterministic core cannot generate. Equal snapshots therefore
+encrypt to equal bytes, which reveals no more than the file's modification time.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from limelever.common.errors import ErrorKind, Failure
 
 KEY_BYTES = 32
-_DERIVED_BYTES = 64
+_DERIVED_KEY_BYTES = 64
 _CONTEXT = b"limelever relay snapshot"
 
 
 class SnapshotSealer:
-    """Seals with the first key and opens with any, so that keys can be replaced one by one."""
+    """Encrypts with the first key and decrypts with any, so that keys can be rotated."""
 
     def __init__(self, keys: Sequence[bytes]) -> None:
-        """Take keys of ``KEY_BYTES`` bytes, the sealing one first."""
+        """Create a sealer from keys of ``KEY_BYTES`` bytes; the first one encrypts."""
         self._ciphers = [AESSIV(_derive(key)) for key in keys]
 
     @classmethod
     def from_texts(cls, texts: Sequence[str]) -> SnapshotSealer | Failure:
-        """Return a sealer for base64 keys, or ``INVALID_SETTINGS`` without naming the key."""
+        """Return a sealer for base64 keys, or ``INVALID_SETTINGS`` without showing the key."""
         try:
             keys = [base64.b64decode(text, validate=True) for text in texts]
         except (binascii.Error, ValueError):
@@ -46,14 +46,16 @@
         return self._ciphers[0].encrypt(content, [_CONTEXT])
 
     def unseal(self, sealed: bytes) -> bytes | Failure:
-        """Return the content, or ``DATA_DAMAGED`` when no key opens it."""
+        """Return the decrypted content, or ``DATA_DAMAGED`` if no key decrypts it."""
         for cipher in self._ciphers:
             try:
                 return cipher.decrypt(sealed, [_CONTEXT])
             except (InvalidTag, ValueError):
                 continue
-        return Failure(ErrorKind.DATA_DAMAGED, "snapshot opens with none of the keys")
+        return Failure(
+            ErrorKind.DATA_DAMAGED, "snapshot cannot be decrypted with any of the snapshot keys"
+        )
 
 
 def _derive(key: bytes) -> bytes:
-    return HKDF(hashes.SHA256(), _DERIVED_BYTES, salt=None, info=_CONTEXT).derive(key)
+    return HKDF(hashes.SHA256(), _DERIVED_KEY_BYTES, salt=None, info=_CONTEXT).derive(key)
--- a/src/limelever/relay/settings.py
+++ b/src/limelever/relay/settings.py
@@ -20,15 +20,15 @@
 from limelever.relay.sealing import KEY_BYTES, SnapshotSealer
 
 
-def sealing_keys(_instance: Any, _attribute: Any, value: tuple[str, ...]) -> None:
-    """Check that keys are base64 of the right length, without showing them."""
+def valid_snapshot_keys(_instance: Any, _attribute: Any, value: tuple[str, ...]) -> None:
+    """Validate that keys are base64 of the right length, without showing them in the error."""
     if value and not isinstance(SnapshotSealer.from_texts(value), SnapshotSealer):
         raise ValueError(f"must be base64 of {KEY_BYTES} bytes each")
 
 
 @attrs.frozen(kw_only=True)
 class SubscriptionSettings:
-    """How the relay keeps itself current."""
+    """The relay's subscription to its sources."""
 
     stale_after_ms: int = attrs.field(default=8000, validator=between(100, 600000))
     probe_interval_ms: int = attrs.field(default=2000, validator=between(50, 60000))
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class DistributionSettings:
-    """How the relay sends configuration to its subscribers."""
+    """Distribution of configuration to the relay's subscribers."""
 
     batch_delay_ms: int = attrs.field(default=50, validator=between(0, 10000))
     heartbeat_ms: int = attrs.field(default=3000, validator=between(50, 60000))
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointSettings:
-    """Leases, and the exchange of endpoints with other relays."""
+    """Leases of endpoints, and their replication between relays."""
 
     lease_ms: int = attrs.field(default=6000, validator=between(300, 600000))
     batch_ms: int = attrs.field(default=50, validator=between(0, 60000))
@@ -66,7 +66,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformListSettings:
-    """Where the platform's list of machines is read; without an address it is not read."""
+    """The platform's list of machines, which is polled if an address is set."""
 
     address: Address | None = attrs.field(default=None, validator=dialled)
     path: str = attrs.field(default="/machines", validator=not_empty)
@@ -96,7 +96,9 @@
     listen: Address
     sources: tuple[Address, ...] = attrs.field(validator=[not_empty, distinct, dialled])
     peers: tuple[Address, ...] = attrs.field(default=(), validator=[distinct, dialled])
-    snapshot_keys: tuple[str, ...] = attrs.field(default=(), validator=sealing_keys, repr=False)
+    snapshot_keys: tuple[str, ...] = attrs.field(
+        default=(), validator=valid_snapshot_keys, repr=False
+    )
     subscription: SubscriptionSettings = SubscriptionSettings()
     distribution: DistributionSettings = DistributionSettings()
     endpoints: EndpointSettings = EndpointSettings()
--- a/src/limelever/relay/tally_store.py
+++ b/src/limelever/relay/tally_store.py
@@ -1,7 +1,7 @@
-"""Passes on how the calls of versions under trial have ended, and holds it for whoever judges them.
+"""Stores and replicates the call tallies of versions in a rollout, on which its analysis is based.
 
-Each agent tells its own relay sums that only grow, and that relay tells all others, so each relay
-holds the newest sums of all agents. They are dropped with the rollout that they belong to.
+Each agent reports its tally, whose counts only grow, to its relay, which forwards it to all other
+relays. Each relay thus holds the newest tally of every agent, up to ``MAX_TALLIES``.
 """
 
 from __future__ import annotations
@@ -13,51 +13,51 @@
 from limelever.relay.endpoint_entry import EndpointName
 from limelever.rollout.tally import answer_count
 
-LARGEST_BOARD = 4096
-"""Back ends whose sums are held: those of the services whose rollouts run, and of some before."""
+MAX_TALLIES = 4096
+"""Tallies stored, one for each back end; those added first are evicted first."""
 
 
-class TallyBoard:
-    """What one relay knows of the rollouts' evidence."""
+class TallyStore:
+    """The newest tally of each back end."""
 
     def __init__(self) -> None:
-        self._by_name: dict[EndpointName, VersionTally] = {}
+        self._tally_by_name: dict[EndpointName, VersionTally] = {}
         self._relays: dict[ConnectionId, None] = {}
 
-    def join(self, relay: ConnectionId) -> list[Output]:
-        """Tell another relay all that is held, and what comes from now on."""
+    def add_relay(self, relay: ConnectionId) -> list[Output]:
+        """Send another relay all tallies, and new ones of this relay's agents from now on."""
         self._relays[relay] = None
-        return [SendMessage(relay, tally) for tally in self._by_name.values()]
+        return [SendMessage(relay, tally) for tally in self._tally_by_name.values()]
 
-    def leave(self, relay: ConnectionId) -> None:
-        """Forget a relay whose link is gone."""
+    def remove_relay(self, relay: ConnectionId) -> None:
+        """Remove a relay whose link was closed."""
         self._relays.pop(relay, None)
 
-    def from_agent(self, tally: VersionTally) -> list[Output]:
-        """Take an agent's sums, and tell them to the other relays if they are news."""
-        if not self.heard(tally):
+    def merge_from_agent(self, tally: VersionTally) -> list[Output]:
+        """Merge an agent's tally, and forward it to the other relays if it is newer."""
+        if not self.merge(tally):
             return []
         return [SendMessage(relay, tally) for relay in self._relays]
 
-    def heard(self, tally: VersionTally) -> bool:
-        """Take sums, from wherever; return whether they are newer than those held."""
+    def merge(self, tally: VersionTally) -> bool:
+        """Merge a tally; return whether it is newer than the stored one."""
         name = EndpointName(tally.service, tally.instance)
-        held = self._by_name.get(name)
-        if held is not None and _age(tally) <= _age(held):
+        current = self._tally_by_name.get(name)
+        if current is not None and _recency(tally) <= _recency(current):
             return False
-        if held is None and len(self._by_name) >= LARGEST_BOARD:
-            del self._by_name[next(iter(self._by_name))]
-        self._by_name[name] = tally
+        if current is None and len(self._tally_by_name) >= MAX_TALLIES:
+            del self._tally_by_name[next(iter(self._tally_by_name))]
+        self._tally_by_name[name] = tally
         return True
 
-    def of(self, service: str, rollout: int) -> Sequence[VersionTally]:
-        """Return the sums that belong to a rollout of a service."""
+    def for_rollout(self, service: str, rollout: int) -> Sequence[VersionTally]:
+        """Return the tallies of a rollout of a service."""
         return [
             tally
-            for tally in self._by_name.values()
+            for tally in self._tally_by_name.values()
             if tally.service == service and tally.rollout == rollout
         ]
 
 
-def _age(tally: VersionTally) -> tuple[int, int]:
+def _recency(tally: VersionTally) -> tuple[int, int]:
     return tally.rollout, answer_count(tally)
--- a/src/limelever_lab/simulator/reader_nodes.py
+++ b/src/limelever_lab/simulator/reader_nodes.py
@@ -15,7 +15,7 @@
 from limelever.proxy.core import ProxyCore, ProxyCoreSettings
 from limelever.publisher.settings import PublisherSettings
 from limelever.relay.core import RelayCore, RelayOptions
-from limelever.relay.endpoint_exchange import EndpointsSettings
+from limelever.relay.endpoint_exchange import EndpointExchangeSettings
 from limelever.relay.sealing import KEY_BYTES, SnapshotSealer
 from limelever.subscriber.settings import SubscriberSettings
 from limelever_lab.simulator.deployments import SimulatedDeployment
@@ -91,7 +91,7 @@
                     persist_snapshot=True,
                 ),
                 publisher=PublisherSettings(batch_delay=batch_delay, proves_itself=False),
-                endpoints=EndpointsSettings(
+                endpoints=EndpointExchangeSettings(
                     peers=tuple(relay.address for relay in self._plan.relays if relay is not place)
                 ),
             )
