--- a/features/relay/crash_news.feature
+++ b/features/relay/crash_news.feature
@@ -1,4 +1,5 @@
-Feature: Relays tell all proxies under which requests back ends have ended
+Feature: Relays replicate the crash history of requests to all proxies
+  Guards against requests that crash back ends in one zone and are then sent to another.
 
   Background:
     Given a mesh of the relays "relay-1" and "relay-2"
@@ -7,46 +8,46 @@
     And the agent "orders-2" registers at "relay-2" with incarnation 5
     And 1 seconds pass at the relays
 
-  Scenario: Crashes seen in several zones convict at every proxy, within a moment
-    When the agent "orders-1" tells of crash 1
-    And the agent "orders-2" tells of crash 2
-    And the agent "orders-1" tells of crash 3
+  Scenario: Crashes in several zones reach every proxy within 0.2 seconds
+    When the agent "orders-1" reports crash 1
+    And the agent "orders-2" reports crash 2
+    And the agent "orders-1" reports crash 3
     And 0.2 seconds pass at the relays
-    Then the proxies "proxy-1, proxy-2" know 3 crashes of the request
-    And each was told 3 times at most
+    Then the proxies "proxy-1, proxy-2" know of 3 consecutive crashes of the request
+    And each proxy received at most 3 crash updates
 
-  Scenario: The same news are passed on once
-    When the agent "orders-1" tells of crash 1
+  Scenario: A crash that is reported again is not sent again
+    When the agent "orders-1" reports crash 1
     And 0.2 seconds pass at the relays
-    And the agent "orders-1" tells of crash 1
-    And the agent "orders-2" tells of crash 1
+    And the agent "orders-1" reports crash 1
+    And the agent "orders-2" reports crash 1
     And 1 seconds pass at the relays
-    Then each was told 1 times at most
+    Then each proxy received at most 1 crash updates
 
-  Scenario: A proxy that has just started knows as much as the others
-    When the agent "orders-1" tells of crash 1
-    And the agent "orders-1" tells of crash 2
+  Scenario: A restarted proxy receives the full crash history
+    When the agent "orders-1" reports crash 1
+    And the agent "orders-1" reports crash 2
     And 1 seconds pass at the relays
     And the proxy "proxy-2" restarts with an empty disk
     And 4 seconds pass at the relays
-    Then the proxies "proxy-1, proxy-2" know 2 crashes of the request
+    Then the proxies "proxy-1, proxy-2" know of 2 consecutive crashes of the request
 
-  Scenario: A relay that was gone meanwhile learns it from the other
+  Scenario: A restarted relay receives the full crash history from another relay
     When the relay "relay-2" is killed
-    And the agent "orders-1" tells of crash 1
-    And the agent "orders-1" tells of crash 2
+    And the agent "orders-1" reports crash 1
+    And the agent "orders-1" reports crash 2
     And 1 seconds pass at the relays
-    And the relay "relay-2" starts again
+    And the relay "relay-2" restarts
     And 8 seconds pass at the relays
-    Then the proxies "proxy-1, proxy-2" know 2 crashes of the request
+    Then the proxies "proxy-1, proxy-2" know of 2 consecutive crashes of the request
 
-  Scenario: Relays that were cut off from each other tell each other afterwards
-    When the link between "relay-1" and "relay-2" is cut without a word
-    And the agent "orders-1" tells of crash 1
-    And the agent "orders-1" tells of crash 2
-    And the agent "orders-2" tells of crash 3
+  Scenario: Relays merge their crash histories after a network partition
+    When the link between "relay-1" and "relay-2" is cut silently
+    And the agent "orders-1" reports crash 1
+    And the agent "orders-1" reports crash 2
+    And the agent "orders-2" reports crash 3
     And 7 seconds pass at the relays
-    Then the proxies "proxy-1" know 2 crashes of the request
-    When the links between relays are mended
+    Then the proxies "proxy-1" know of 2 consecutive crashes of the request
+    When all links are restored
     And 16 seconds pass at the relays
-    Then the proxies "proxy-1, proxy-2" know 3 crashes of the request
+    Then the proxies "proxy-1, proxy-2" know of 3 consecutive crashes of the request
--- a/features/relay/endpoints.feature
+++ b/features/relay/endpoints.feature
@@ -1,4 +1,5 @@
-Feature: Endpoints are soft state: held by lease, the newer notion wins, draining is sticky
+Feature: Endpoints are soft state: kept by lease, the newer state wins, draining lasts for an incarnation
+  Guards against calls to back ends that are gone or draining, and against back ends lost by mistake.
 
   Background:
     Given a mesh of the relays "relay-1" and "relay-2"
@@ -9,7 +10,7 @@
     When 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "ready"
 
-  Scenario: A lease that is not renewed ends
+  Scenario: A lease that is not renewed expires
     When 1 seconds pass at the relays
     And the agent "orders-1" renews as "ready"
     And 5.5 seconds pass at the relays
@@ -17,7 +18,7 @@
     When 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "gone"
 
-  Scenario: A renewal after the lease's end brings the endpoint back
+  Scenario: A renewal after the lease has expired restores the endpoint
     When 8 seconds pass at the relays
     And the agent "orders-1" renews as "ready"
     And 1 seconds pass at the relays
@@ -29,7 +30,7 @@
     Then the agent "orders-1" is told that its lease is lost
     And the proxies "proxy-1, proxy-2" see incarnation 5 of "orders-1"
 
-  Scenario: Draining is sticky for an incarnation
+  Scenario: An incarnation that drained stays draining
     When the agent "orders-1" renews as "draining"
     And 1 seconds pass at the relays
     And the agent "orders-1" renews as "ready"
@@ -39,32 +40,32 @@
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "ready"
 
-  Scenario: An agent that stops as planned is gone at once
+  Scenario: An endpoint whose agent stops as planned is removed at once
     When 1 seconds pass at the relays
     And the agent "orders-1" renews as "gone"
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "gone"
 
-  Scenario: The platform list marks a machine as leaving, unless the entry is newer
-    When "relay-1" and "relay-2" read that "orders-1" of incarnation 4 is "leaving"
+  Scenario: The platform list marks a machine as draining, unless its incarnation is newer
+    When the platform list of "relay-1" and "relay-2" shows "orders-1" of incarnation 4 as "leaving"
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "ready"
-    When "relay-1" and "relay-2" read that "orders-1" of incarnation 5 is "leaving"
+    When the platform list of "relay-1" and "relay-2" shows "orders-1" of incarnation 5 as "leaving"
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "draining"
-    When "relay-1" and "relay-2" read that "orders-1" of incarnation 5 is "live"
+    When the platform list of "relay-1" and "relay-2" shows "orders-1" of incarnation 5 as "live"
     And the agent "orders-1" renews as "ready"
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "draining"
 
-  Scenario: A machine called dead whose lease stands takes no new work, and is gone at its end
-    When "relay-1" and "relay-1" read that "orders-1" of incarnation 5 is "dead"
+  Scenario: A machine listed as dead is draining while its lease is held, and gone when it expires
+    When the platform list of "relay-1" and "relay-1" shows "orders-1" of incarnation 5 as "dead"
     And 1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "draining"
     When 6 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "gone"
 
-  Scenario: A lost relay's endpoints stay for the grace
+  Scenario: Endpoints of a killed relay stay for the grace period
     When 1 seconds pass at the relays
     And the relay "relay-1" is killed
     And 15 seconds pass at the relays
@@ -72,18 +73,18 @@
     When 10 seconds pass at the relays
     Then the proxies "proxy-2" see "orders-1" as "gone"
 
-  Scenario: An agent that moves within the grace is never missed
+  Scenario: An agent that moves to another relay within the grace period stays ready
     When 1 seconds pass at the relays
     And the relay "relay-1" is killed
     And 3 seconds pass at the relays
-    And the agent "orders-1" registers at the next relay "relay-2"
+    And the agent "orders-1" registers at "relay-2" with the same incarnation
     And the agent "orders-1" renews for 40 seconds
-    Then the proxy "proxy-2" has seen "orders-1" as "ready" all along
+    Then the proxy "proxy-2" has always seen "orders-1" as "ready"
 
-  Scenario: A restarted relay's endpoints that do not come back go after the grace
+  Scenario: Endpoints that do not return to a restarted relay expire after the grace period
     When 1 seconds pass at the relays
     And the relay "relay-1" is killed
-    And the relay "relay-1" starts again
+    And the relay "relay-1" restarts
     And the agent "orders-2" registers at "relay-1" with incarnation 1
     And the agent "orders-2" renews for 15 seconds
     Then the proxies "proxy-2" see "orders-1" as "ready"
@@ -92,36 +93,36 @@
     Then the proxies "proxy-2" see "orders-1" as "gone"
     And the proxies "proxy-2" see "orders-2" as "ready"
 
-  Scenario: A silent cut between relays is noticed, and what was missed is made up
+  Scenario: A silent cut between relays is detected, and missed changes are sent afterwards
     When 1 seconds pass at the relays
-    And the link between "relay-1" and "relay-2" is cut without a word
+    And the link between "relay-1" and "relay-2" is cut silently
     And the agent "orders-1" renews as "draining"
     And the agent "orders-2" registers at "relay-1" with incarnation 1
     And the agent "orders-2" renews for 8 seconds
     Then the proxies "proxy-2" see "orders-1" as "ready"
-    When the links between relays are mended
+    When all links are restored
     And the agent "orders-2" renews for 30 seconds
     Then the proxies "proxy-2" see "orders-2" as "ready"
     And the proxies "proxy-2" see "orders-1" as "gone"
 
-  Scenario: Load travels with renewals only, and churn is sent in batches
+  Scenario: A load in a renewal causes no update, and registrations at one time cause one
     When 1 seconds pass at the relays
-    And the proxy "proxy-1" counts its endpoint updates from here
+    And the proxy "proxy-1" starts counting its endpoint updates
     And the agent "orders-1" renews 50 times with changing load
     And 1 seconds pass at the relays
-    Then the proxy "proxy-1" got 0 more endpoint updates
+    Then the proxy "proxy-1" received 0 more endpoint updates
     When 50 agents register at "relay-1" at once
     And 1 seconds pass at the relays
-    Then the proxy "proxy-1" got 1 more endpoint updates
+    Then the proxy "proxy-1" received 1 more endpoint updates
 
-  Scenario: Agents' subscriptions carry configuration only
+  Scenario: Agents' subscriptions receive configuration only
     Given an agent's subscription "agent-config" at "relay-1"
     When 1 seconds pass at the relays
-    Then the subscription "agent-config" holds configuration and got no endpoints
+    Then the subscription "agent-config" holds the configuration and received no endpoints
 
-  Scenario: A change alone goes out at once, those that follow it closely as one batch
+  Scenario: A single change is sent at once, and those shortly after it as one batch
     When 1 seconds pass at the relays
-    And the proxy "proxy-2" counts its endpoint updates from here
+    And the proxy "proxy-2" starts counting its endpoint updates
     And the agent "orders-1" renews as "draining"
     And 0.02 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-1" as "draining"
@@ -129,13 +130,13 @@
     And the agent "orders-3" registers at "relay-1" with incarnation 1
     And 0.1 seconds pass at the relays
     Then the proxies "proxy-1, proxy-2" see "orders-3" as "ready"
-    And the proxy "proxy-2" got 2 more endpoint updates
+    And the proxy "proxy-2" received 2 more endpoint updates
 
-  Scenario: News of one endpoint may come in any order
-    Then random news of an endpoint ends the same in any order
+  Scenario: Updates of an endpoint may arrive in any order
+    Then random updates of an endpoint merge to the same state in any order
 
-  Scenario: The platform's list is read, and what does not parse is refused
-    Then platform lists are read into notices of leaving and dead machines only
+  Scenario: The platform list is parsed, and an invalid one is refused
+    Then platform lists are parsed into notices of leaving and dead machines, and invalid ones refused
 
-  Scenario: Changes whose tombstones were dropped cannot be told one by one
-    Then a table that dropped a tombstone says so to those who had not heard of it
+  Scenario: Changes cannot be listed after their tombstones are removed
+    Then an endpoint table that removed a tombstone cannot list the changes since before it
--- a/features/relay/loads.feature
+++ b/features/relay/loads.feature
@@ -1,24 +1,25 @@
-Feature: Loads reach the proxies of their zone while they are news
+Feature: Relays send the loads of endpoints to the proxies of their zone
+  Guards against outdated loads at proxies, and against load traffic between zones.
 
   Background:
     Given a mesh of the relays "relay-1" and "relay-2"
     And a proxy "near" at "relay-1" and a proxy "other-zone" at "relay-2"
     And the agent "orders-1" registers at "relay-1" with incarnation 5
 
-  Scenario: A load reaches its zone and no other
+  Scenario: A load is sent to proxies of its zone only
     When the agent "orders-1" reports a load of 3
     And 0.2 seconds pass at the relays
     Then the proxies "near" have heard the loads "3" of "orders-1"
     And the proxies "other-zone" have heard the loads "" of "orders-1"
 
-  Scenario: A load reaches proxies of its zone that follow another relay
+  Scenario: A load is sent to proxies of its zone at another relay
     Given a proxy of the zone of "relay-1" at "relay-2"
     When 2 seconds pass at the relays
     And the agent "orders-1" reports a load of 3
     And 0.3 seconds pass at the relays
     Then the proxies "near, far" have heard the loads "3" of "orders-1"
 
-  Scenario: Relays tell loads to those relays alone that have proxies of the zone
+  Scenario: Loads are sent only to relays with proxies of the zone
     When 2 seconds pass at the relays
     And the agent "orders-1" reports a load of 3
     And 0.3 seconds pass at the relays
@@ -34,7 +35,7 @@
     And 0.3 seconds pass at the relays
     Then "relay-2" has heard the loads "4" from "relay-1"
 
-  Scenario: Many reports at once go out as one, with the newest load
+  Scenario: Reports in quick succession are sent as one update with the newest load
     When the agent "orders-1" reports a load of 1
     And 0.05 seconds pass at the relays
     And the agent "orders-1" reports a load of 2
@@ -42,7 +43,7 @@
     And 0.3 seconds pass at the relays
     Then the proxies "near" have heard the loads "1, 255" of "orders-1"
 
-  Scenario: What is not registered has no load
+  Scenario: Reports without a lease are ignored
     Given the agent "stranger" has a link to "relay-1" and no lease
     When the agent "stranger" reports a load of 3
     And 0.2 seconds pass at the relays
--- a/features/steps/crash_news_steps.py
+++ b/features/steps/crash_news_steps.py
@@ -1,4 +1,4 @@
-"""Steps for news of requests under which back ends have ended, among relays and proxies."""
+"""Steps for the crash history that relays replicate to proxies."""
 
 from behave import then, when
 
@@ -7,20 +7,20 @@
 REQUEST = Fingerprint.of("orders", b"GET", b"/orders/1", b"")
 
 
-@when('the agent "{name}" tells of crash {crash:d}')
-def step_tell(context, name, crash):
+@when('the agent "{name}" reports crash {crash:d}')
+def step_report_crash(context, name, crash):
     context.agents[name].tell_crash(REQUEST, crash)
 
 
-@then('the proxies "{names}" know {count:d} crashes of the request')
-def step_know(context, names, count):
+@then('the proxies "{names}" know of {count:d} consecutive crashes of the request')
+def step_known_crashes(context, names, count):
     for name in names.split(", "):
-        held = context.mesh.network.nodes[name].core.evidence.get(REQUEST.request)
-        assert held is not None and held.consecutive_crashes == count, (name, held)
+        record = context.mesh.network.nodes[name].core.evidence.get(REQUEST.request)
+        assert record is not None and record.consecutive_crashes == count, (name, record)
 
 
-@then("each was told {count:d} times at most")
-def step_told(context, count):
+@then("each proxy received at most {count:d} crash updates")
+def step_update_count(context, count):
     for name in context.proxies:
-        told = context.mesh.network.nodes[name].core.crash_news
-        assert told <= count, (name, told)
+        received = context.mesh.network.nodes[name].core.crash_news
+        assert received <= count, (name, received)
--- a/features/steps/relay_limit_steps.py
+++ b/features/steps/relay_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps for limits of tenants among whole relays."""
+"""Steps for tenants' limits at complete relay cores."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 
 
-def send_up(context: Context, name: str, use: TenantUse) -> None:
+def send_to_relay(context: Context, name: str, report: TenantUse) -> None:
     node = context.mesh.network.nodes[name]
     connection = node.core.subscriber.connection
-    context.mesh.network.carry_out(name, [SendMessage(connection, use)])
+    context.mesh.network.carry_out(name, [SendMessage(connection, report)])
 
 
-def last_news(context: Context, name: str) -> LimitNews:
+def last_update(context: Context, name: str) -> LimitNews:
     received = context.mesh.network.nodes[name].received
     return [message for message in received if isinstance(message, LimitNews)][-1]
 
@@ -27,33 +27,35 @@
     context.mesh.apply([resource(f"tenant/{name}", rate_per_s=rate, burst=0)])
 
 
-@when('the proxies "{names}" tell their relays that they share limits')
-def share_limits(context: Context, names: str) -> None:
+@when('the proxies "{names}" send empty usage reports to their relays')
+def send_empty_reports(context: Context, names: str) -> None:
     for name in names.split(", "):
-        send_up(context, name, TenantUse())
+        send_to_relay(context, name, TenantUse())
 
 
-@when('the proxy "{name}" tells its relay of {calls:d} calls of "{tenant}" let in')
-def tell_use(context: Context, name: str, calls: int, tenant: str) -> None:
-    send_up(context, name, TenantUse(tenants=[tenant_hash(tenant)], admitted=[calls]))
+@when('the proxy "{name}" reports {calls:d} admitted calls of "{tenant}" to its relay')
+def report_usage(context: Context, name: str, calls: int, tenant: str) -> None:
+    send_to_relay(context, name, TenantUse(tenants=[tenant_hash(tenant)], admitted=[calls]))
 
 
-@then('the proxies "{names}" were last told to let in nothing of "{tenant}"')
-def told_nothing_in(context: Context, names: str, tenant: str) -> None:
+@then('the last limit update of the proxies "{names}" admits no calls of "{tenant}"')
+def admits_nothing(context: Context, names: str, tenant: str) -> None:
     for name in names.split(", "):
-        news = last_news(context, name)
-        assert list(news.tenants) == [tenant_hash(tenant)], (name, news)
-        assert list(news.permille) == [0], (name, news)
+        update = last_update(context, name)
+        assert list(update.tenants) == [tenant_hash(tenant)], (name, update)
+        assert list(update.permille) == [0], (name, update)
 
 
-@then('the proxies "{names}" were last told of no tenant')
-def told_of_none(context: Context, names: str) -> None:
+@then('the last limit update of the proxies "{names}" names no tenant')
+def names_no_tenant(context: Context, names: str) -> None:
     for name in names.split(", "):
-        assert not last_news(context, name).tenants, (name, last_news(context, name))
+        assert not last_update(context, name).tenants, (name, last_update(context, name))
 
 
-@then("nobody has heard of limits")
-def heard_nothing(context: Context) -> None:
+@then("no process has received a usage report or limit update")
+def no_limit_messages(context: Context) -> None:
     for name, node in context.mesh.network.nodes.items():
-        heard = [each for each in node.received if isinstance(each, LimitNews | TenantUse)]
-        assert not heard, (name, heard)
+        limit_messages = [
+            message for message in node.received if isinstance(message, LimitNews | TenantUse)
+        ]
+        assert not limit_messages, (name, limit_messages)
--- a/features/steps/relay_region_steps.py
+++ b/features/steps/relay_region_steps.py
@@ -1,4 +1,4 @@
-"""Steps for regions that lose each other: whole relay cores under virtual time."""
+"""Steps for network partitions between regions: complete relay cores under virtual time."""
 
 from behave import given, then, when
 from distribution_harness import Mesh, build, resource
@@ -8,8 +8,8 @@
 from limelever.relay.sealing import SnapshotSealer
 from limelever.subscriber.settings import SubscriberSettings
 
-LINK_LIFE = 30.0
-"""Seconds after which the system ends a link over which nothing comes through."""
+LINK_TIMEOUT = 30.0
+"""Seconds after which the operating system closes a connection without acknowledgements."""
 
 
 def zones_of(text):
@@ -17,24 +17,24 @@
 
 
 def run(context, duration):
-    """Let time pass; the agents renew their leases."""
+    """Advance virtual time while the agents renew their leases."""
     network = context.mesh.network
     end = network.now + duration
     while network.now < end:
         for one in context.agents.values():
             one.renew(context.agent_states[one.name])
         network.run(min(RENEWAL_INTERVAL, end - network.now))
-        watch_links(context)
+        record_unlinked_proxies(context)
 
 
-def watch_links(context):
-    """Note the proxies that have no open link to a relay of their region."""
+def record_unlinked_proxies(context):
+    """Count for each proxy how often it has no open link to a relay of its region."""
     for region, zones in context.regions.items():
         relays = {f"relay-{zone}" for zone in zones}
         for name in proxies_in(context, region):
             links = context.mesh.network.nodes[name].links.values()
             if not any(other.name in relays for other, _ in links):
-                context.unlinked[name] = context.unlinked.get(name, 0) + 1
+                context.unlinked_counts[name] = context.unlinked_counts.get(name, 0) + 1
 
 
 def proxies_in(context, region):
@@ -48,14 +48,14 @@
     context.mesh.add_reader(name, settings, zone)
 
 
-# --- the set-up ----------------------------------------------------------------------------
+# --- setup ---------------------------------------------------------------------------------
 
 
 @given('a region "{region}" of the zones "{zones}" with the source')
 def step_first_region(context, region, zones):
     context.mesh = Mesh()
     context.regions = {region: zones_of(zones)}
-    context.agents, context.agent_states, context.unlinked = {}, {}, {}
+    context.agents, context.agent_states, context.unlinked_counts = {}, {}, {}
     context.mesh.add_source("source")
     put = [build("service/orders"), resource("secret/till", value=b"hidden")]
     context.mesh.apply([*put, build("route/place", "orders", "till")])
@@ -64,7 +64,9 @@
 @given('a region "{region}" of the zones "{zones}"')
 def step_second_region(context, region, zones):
     context.regions[region] = zones_of(zones)
-    context.relays = [f"relay-{zone}" for of in context.regions.values() for zone in of]
+    context.relays = [
+        f"relay-{zone}" for region_zones in context.regions.values() for zone in region_zones
+    ]
     for relay in context.relays:
         peers = [other for other in context.relays if other != relay]
         zone = relay.removeprefix("relay-")
@@ -74,10 +76,10 @@
 
 @given("{count:d} region proxies in each zone that know every relay")
 def step_region_proxies(context, count):
-    zones = [zone for of in context.regions.values() for zone in of]
+    zones = [zone for region_zones in context.regions.values() for zone in region_zones]
     context.proxies = {zone: [f"proxy-{zone}-{n}" for n in range(count)] for zone in zones}
-    for zone, found in context.proxies.items():
-        for name in found:
+    for zone, names in context.proxies.items():
+        for name in names:
             start_proxy(context, name, zone)
 
 
@@ -90,35 +92,37 @@
         context.agent_states[one.name] = "ready"
 
 
-# --- what happens --------------------------------------------------------------------------
+# --- actions -------------------------------------------------------------------------------
 
 
 @when("{duration:g} seconds pass over the regions")
-def step_pass(context, duration):
+def step_run(context, duration):
     run(context, duration)
 
 
-@when("the regions are cut off from each other")
-def step_cut(context):
+@when("the network between the regions is partitioned")
+def step_partition(context):
     network = context.mesh.network
     near, far = context.regions
-    side = {name for name in network.nodes if any(zone in name for zone in context.regions[far])}
+    far_nodes = {
+        name for name in network.nodes if any(zone in name for zone in context.regions[far])
+    }
     for one in network.nodes:
-        for other in side:
-            if one not in side:
+        for other in far_nodes:
+            if one not in far_nodes:
                 network.cuts.add(frozenset((one, other)))
-    context.cut_version = context.mesh.version
-    context.unlinked.clear()
+    context.version_before_partition = context.mesh.version
+    context.unlinked_counts.clear()
     for node in network.nodes.values():
         node.received.clear()
-    network.later(LINK_LIFE, end_dead_links, network)
+    network.later(LINK_TIMEOUT, close_cut_links, network)
 
 
-def end_dead_links(network):
+def close_cut_links(network):
     for node in tuple(network.nodes.values()):
         for connection, (other, _) in tuple(node.links.items()):
             if frozenset((node.name, other.name)) in network.cuts:
-                network._close(node, connection, "nothing came through")
+                network._close(node, connection, "connection timed out")
 
 
 @when("the configuration changes {count:d} times in {duration:d} seconds")
@@ -141,12 +145,12 @@
     context.agents[f"agent-{zone}"].renew("draining")
 
 
-@when("the regions are joined again")
-def step_join(context):
+@when("the network partition is healed")
+def step_heal(context):
     context.mesh.network.cuts.clear()
 
 
-# --- what is so ----------------------------------------------------------------------------
+# --- checks --------------------------------------------------------------------------------
 
 
 def versions(context, region):
@@ -156,7 +160,7 @@
     }
 
 
-@then('every proxy in "{region}" holds the region\'s newest version')
+@then('every proxy in "{region}" holds the newest version')
 def step_newest(context, region):
     assert versions(context, region) == {context.mesh.version}, versions(context, region)
     for name in proxies_in(context, region):
@@ -164,18 +168,20 @@
         assert dict(held) == context.mesh.scope_of(["orders"])
 
 
-@then('every proxy in "{region}" holds the version of the cut, whole')
-def step_version_of_cut(context, region):
-    assert versions(context, region) == {context.cut_version}, versions(context, region)
+@then('every proxy in "{region}" holds the complete version from before the partition')
+def step_version_before_partition(context, region):
+    assert versions(context, region) == {context.version_before_partition}, versions(
+        context, region
+    )
     for name in proxies_in(context, region):
         held = {str(key) for key in context.mesh.network.nodes[name].core.held}
         assert held == {"service/orders", "secret/till", "route/place"}, held
 
 
-@then('no proxy in "{region}" has been without its region\'s relays')
-def step_linked(context, region):
-    found = {name: context.unlinked.get(name, 0) for name in proxies_in(context, region)}
-    assert not any(found.values()), found
+@then('every proxy in "{region}" was always linked to a relay of its region')
+def step_always_linked(context, region):
+    counts = {name: context.unlinked_counts.get(name, 0) for name in proxies_in(context, region)}
+    assert not any(counts.values()), counts
 
 
 @then('every proxy in "{region}" sees the agent in "{zone}" as "{state}"')
@@ -185,7 +191,7 @@
         assert endpoint.state == STATES[state], (name, endpoint)
 
 
-@then('since the cut no relay and no proxy in "{region}" was sent a snapshot')
+@then('no relay or proxy in "{region}" received a snapshot since the partition')
 def step_no_snapshot(context, region):
     readers = [f"relay-{zone}" for zone in context.regions[region]]
     for name in [*readers, *proxies_in(context, region)]:
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the relay: whole relay cores in a small network under virtual time."""
+"""Steps for relays: complete relay cores in a simulated network under virtual time."""
 
 import json
 
@@ -36,9 +36,9 @@
 
 def start_proxy(context, name, *relays, zone=None):
     addresses = tuple(context.mesh.network.address(relay) for relay in relays)
-    reader = SubscriberSettings(publishers=addresses, services=("orders",))
+    subscription = SubscriberSettings(publishers=addresses, services=("orders",))
     context.proxies[name] = relays
-    return context.mesh.add_reader(name, reader, zone or ZONES[relays[0]])
+    return context.mesh.add_reader(name, subscription, zone or ZONES[relays[0]])
 
 
 def start_relay(context, name, key=KEY, **options):
@@ -60,7 +60,7 @@
     return next(other for other, _ in context.mesh.network.nodes[name].links.values())
 
 
-# --- the set-up ----------------------------------------------------------------------------
+# --- setup ---------------------------------------------------------------------------------
 
 
 @given('a mesh of the relays "relay-1" and "relay-2"')
@@ -95,7 +95,7 @@
 
 
 @given('{count:d} more proxies that prefer "{relay}" to "{other}"')
-def step_preferring_proxies(context, count, relay, other):
+def step_proxies_with_preference(context, count, relay, other):
     context.preferring = [f"preferring-{number}" for number in range(count)]
     for name in context.preferring:
         start_proxy(context, name, relay, other)
@@ -116,12 +116,12 @@
     agent(context, name).register(relay, ZONES[relay], incarnation)
 
 
-# --- what happens --------------------------------------------------------------------------
+# --- actions -------------------------------------------------------------------------------
 
 
 @given("{duration:g} seconds pass at the relays")
 @when("{duration:g} seconds pass at the relays")
-def step_pass(context, duration):
+def step_run(context, duration):
     context.mesh.network.run(duration)
 
 
@@ -144,27 +144,30 @@
         agent(context, name).renew("ready", in_flight=number)
 
 
-@when('the agent "{name}" registers at the next relay "{relay}"')
-def step_move(context, name, relay):
-    moved = agent(context, name)
-    moved.register(relay, ZONES[relay], moved.incarnation)
+@when('the agent "{name}" registers at "{relay}" with the same incarnation')
+def step_register_elsewhere(context, name, relay):
+    moving = agent(context, name)
+    moving.register(relay, ZONES[relay], moving.incarnation)
 
 
 @when('{count:d} agents register at "{relay}" at once')
 def step_many_agents(context, count, relay):
-    moved = [Agent(context.mesh, f"many-{number}", 1) for number in range(count)]
-    for one in moved:
+    agents = [Agent(context.mesh, f"many-{number}", 1) for number in range(count)]
+    for each in agents:
         dial = OpenConnection(2, context.mesh.network.address(relay), Purpose.REGISTRATION)
-        context.mesh.network.carry_out(one.name, [dial])
+        context.mesh.network.carry_out(each.name, [dial])
     context.mesh.network.run(0.2)
-    for number, one in enumerate(moved):
-        endpoint = Endpoint(service="orders", instance=one.name, incarnation=1, sequence=1)
+    for number, each in enumerate(agents):
+        endpoint = Endpoint(service="orders", instance=each.name, incarnation=1, sequence=1)
         endpoint.state, endpoint.port = ENDPOINT_STATE_READY, number
         message = SendMessage(2, Register(endpoint=endpoint))
-        context.mesh.network.carry_out(one.name, [message])
+        context.mesh.network.carry_out(each.name, [message])
 
 
-@when('"{one}" and "{other}" read that "{name}" of incarnation {incarnation:d} is "{state}"')
+@when(
+    'the platform list of "{one}" and "{other}" shows "{name}" of incarnation {incarnation:d} '
+    'as "{state}"'
+)
 def step_platform_list(context, one, other, name, incarnation, state):
     machines = [{"instance": name, "state": state, "incarnation": incarnation}]
     notices = parse_machines(json.dumps(machines).encode())
@@ -182,23 +185,23 @@
     context.mesh.network.kill("source")
 
 
-@when('the relay "{name}" starts again')
-def step_start_relay(context, name):
+@when('the relay "{name}" restarts')
+def step_restart_relay(context, name):
     start_relay(context, name)
 
 
-@when('the relay "{name}" starts again and admits nobody')
-def step_start_full_relay(context, name):
+@when('the relay "{name}" restarts and admits no subscribers')
+def step_restart_full_relay(context, name):
     start_relay(context, name, admission_burst=0.0)
 
 
-@when('a relay "{name}" comes up that accepts links and says nothing')
-def step_start_mute_relay(context, name):
+@when('the relay "{name}" accepts links but sends nothing')
+def step_silent_relay(context, name):
     context.mesh.network.dark.discard(name)
 
 
-@when('the relay "{name}" starts again with another key')
-def step_start_relay_key(context, name):
+@when('the relay "{name}" restarts with another key')
+def step_restart_relay_key(context, name):
     start_relay(context, name, OTHER_KEY)
 
 
@@ -215,13 +218,13 @@
     start_proxy(context, name, *context.proxies[name])
 
 
-@when('the link between "{one}" and "{other}" is cut without a word')
+@when('the link between "{one}" and "{other}" is cut silently')
 def step_cut_relays(context, one, other):
     context.mesh.network.cuts.add(frozenset((one, other)))
 
 
-@when("the links between relays are mended")
-def step_mend_relays(context):
+@when("all links are restored")
+def step_restore_links(context):
     context.mesh.network.cuts.clear()
 
 
@@ -248,17 +251,17 @@
     context.mesh.network.nodes[name].disk_stalled = True
 
 
-@when('the disk of the proxy "{name}" goes on again')
-def step_unstall(context, name):
+@when('the disk of the proxy "{name}" recovers')
+def step_recover_disk(context, name):
     context.mesh.network.sync(name)
 
 
-@when('the proxy "{name}" counts its endpoint updates from here')
+@when('the proxy "{name}" starts counting its endpoint updates')
 def step_count_updates(context, name):
     context.updates = len(endpoint_updates(context.mesh.network.nodes[name]))
 
 
-# --- what is so ----------------------------------------------------------------------------
+# --- checks --------------------------------------------------------------------------------
 
 
 @then('the proxies "{names}" see "{instance}" as "{state}"')
@@ -274,8 +277,8 @@
         assert proxy(context, name).endpoints[instance].incarnation == incarnation
 
 
-@then('the proxy "{name}" has seen "{instance}" as "{state}" all along')
-def step_seen_all_along(context, name, instance, state):
+@then('the proxy "{name}" has always seen "{instance}" as "{state}"')
+def step_always_seen(context, name, instance, state):
     updates = endpoint_updates(context.mesh.network.nodes[name])
     seen = [e.state for update in updates for e in update.endpoints if e.instance == instance]
     assert seen and set(seen) == {STATES[state]}, seen
@@ -288,20 +291,20 @@
     assert any(isinstance(message, LeaseLost) for message in received)
 
 
-@then('the proxy "{name}" got {count:d} more endpoint updates')
+@then('the proxy "{name}" received {count:d} more endpoint updates')
 def step_more_updates(context, name, count):
     updates = len(endpoint_updates(context.mesh.network.nodes[name]))
     assert updates - context.updates == count, updates - context.updates
 
 
-@then('the subscription "{name}" holds configuration and got no endpoints')
+@then('the subscription "{name}" holds the configuration and received no endpoints')
 def step_agent_config(context, name):
     node = context.mesh.network.nodes[name]
     assert node.core.subscriber.version == context.mesh.version
     assert endpoint_updates(node) == []
 
 
-@then('the source counts "{expected}" in force')
+@then('the source counts the newest version in force at "{expected}"')
 def step_source_counts(context, expected):
     publisher = context.mesh.network.nodes["source"].core.publisher
     zones = publisher.rollout(context.mesh.version)
@@ -309,7 +312,7 @@
     assert counted == expected, counted
 
 
-@then('the proxy "{name}" holds the mesh\'s version')
+@then('the proxy "{name}" holds the newest version')
 def step_proxy_holds(context, name):
     host = proxy(context, name)
     assert host.subscriber.version == context.mesh.version, host.subscriber.version
@@ -321,19 +324,19 @@
     assert not proxy(context, name).held
 
 
-@then('the relay "{name}" holds the mesh\'s version')
+@then('the relay "{name}" holds the newest version')
 def step_relay_holds(context, name):
     assert context.mesh.network.nodes[name].core.version == context.mesh.version
 
 
-@then('no secret stands open on the disk of "{name}"')
+@then('the disk of "{name}" holds a snapshot and no plain-text secret')
 def step_no_secret(context, name):
     files = context.mesh.network.nodes[name].files
     assert "snapshot" in files
     assert not any(SECRET in content for content in files.values())
 
 
-@then("all proxies hold the mesh's version")
+@then("all proxies hold the newest version")
 def step_all_hold(context):
     for name in context.proxies:
         step_proxy_holds(context, name)
@@ -348,14 +351,14 @@
     assert len(followers(context, relay)) == count, len(followers(context, relay))
 
 
-@then('the proxies that follow "{relay}" hold the mesh\'s version')
+@then('the proxies that follow "{relay}" hold the newest version')
 def step_followers_hold(context, relay):
     for name in followers(context, relay):
         step_proxy_holds(context, name)
 
 
-@then('over {seconds:d} seconds at most {count:d} proxies a second change over to "{relay}"')
-def step_change_over(context, seconds, count, relay):
+@then('over {seconds:d} seconds at most {count:d} proxies a second move to "{relay}"')
+def step_move_gradually(context, seconds, count, relay):
     before = len(followers(context, relay))
     for _ in range(seconds):
         context.mesh.network.run(1.0)
@@ -364,30 +367,30 @@
         before = after
 
 
-def times_left(context, name):
+def relays_left(context, name):
     log = context.mesh.network.nodes[name].log
     return sum(code == PUBLISHER_LEFT for code, _ in log)
 
 
 @then("each of them has left a relay {count:d} times")
 def step_left(context, count):
-    found = {times_left(context, name) for name in context.preferring}
+    found = {relays_left(context, name) for name in context.preferring}
     assert found == {count}, found
 
 
 @then("each of them has left a relay at most {count:d} times")
 def step_left_at_most(context, count):
-    assert max(times_left(context, name) for name in context.preferring) <= count
+    assert max(relays_left(context, name) for name in context.preferring) <= count
 
 
-@then('each of them has dialled "{relay}" {count:d} times or more')
+@then('each of them has dialled "{relay}" at least {count:d} times')
 def step_dialled_often(context, relay, count):
     callers = context.mesh.network.nodes[relay].callers
     assert min(callers[name] for name in context.preferring) >= count, callers
 
 
-@then("the same rollout counts are reported once to each publisher in turn")
-def step_reported_once(context):
+@then("unchanged rollout counts are reported once to each new publisher")
+def step_counts_reported_once(context):
     reporter = RolloutReporter(1.0)
     report = RolloutReport(entries=[RolloutEntry(zone="zone-a", version=1, holders=2)])
     assert reporter.report_if_changed(report, 1) == report
@@ -402,23 +405,23 @@
     assert len(context.mesh.network.nodes["source"].links) == count
 
 
-@then("random news of an endpoint ends the same in any order")
+@then("random updates of an endpoint merge to the same state in any order")
 def step_any_order(context):
-    news = st.tuples(st.integers(1, 3), st.integers(1, 4), st.sampled_from([1, 2, 3]))
+    update = st.tuples(st.integers(1, 3), st.integers(1, 4), st.sampled_from([1, 2, 3]))
 
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
-    @examples(st.lists(news, min_size=1, max_size=6), st.randoms(use_true_random=False))
-    def check(told, generator):
-        shuffled = list(told)
+    @examples(st.lists(update, min_size=1, max_size=6), st.randoms(use_true_random=False))
+    def check(updates, generator):
+        shuffled = list(updates)
         generator.shuffle(shuffled)
-        assert outcome(told) == outcome(shuffled), (told, shuffled)
+        assert merged_state(updates) == merged_state(shuffled), (updates, shuffled)
 
     check()
 
 
-def outcome(told):
+def merged_state(updates):
     table = EndpointTable(TableSettings())
-    for incarnation, sequence, state in told:
+    for incarnation, sequence, state in updates:
         endpoint = Endpoint(service="orders", instance="one")
         endpoint.incarnation, endpoint.sequence, endpoint.state = incarnation, sequence, state
         table.merge(endpoint, "relay-1", None, 0.0)
@@ -426,7 +429,9 @@
     return (found.incarnation, found.sequence, found.state)
 
 
-@then("platform lists are read into notices of leaving and dead machines only")
+@then(
+    "platform lists are parsed into notices of leaving and dead machines, and invalid ones refused"
+)
 def step_parse_list(context):
     machines = [
         {"instance": "a", "state": "live", "incarnation": 1},
@@ -442,15 +447,15 @@
         assert isinstance(parse_machines(body), Failure), body
 
 
-@then("a table that dropped a tombstone says so to those who had not heard of it")
+@then("an endpoint table that removed a tombstone cannot list the changes since before it")
 def step_dropped_tombstone(context):
     table = EndpointTable(TableSettings(tombstone=10.0))
     endpoint = Endpoint(service="orders", instance="one", incarnation=1, sequence=1)
     endpoint.state = ENDPOINT_STATE_READY
     table.merge(endpoint, LOCAL_ORIGIN, 5.0, 0.0)
-    heard = table.last_local_change
+    received_change = table.last_local_change
     table.expire(6.0)
-    assert [e.state for e in table.local_changes_since(heard)] == [ENDPOINT_STATE_GONE]
+    assert [e.state for e in table.local_changes_since(received_change)] == [ENDPOINT_STATE_GONE]
     table.expire(20.0)
-    assert table.local_changes_since(heard) is None
+    assert table.local_changes_since(received_change) is None
     assert table.local_changes_since(table.last_local_change) == []
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the relay that the subscribers of a zone prefer."""
+"""Steps for the preference of subscribers for a relay of their zone."""
 
 from __future__ import annotations
 
@@ -30,47 +30,47 @@
 
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=200)
 MANY_ZONES, FEW_RELAYS = 400, 5
-RETURN = BackoffSettings(base=1.0, maximum=4.0)
+RETURN_BACKOFF = BackoffSettings(base=1.0, maximum=4.0)
 
 
-def tell_relays(context: Context) -> None:
+def announce_relays(context: Context) -> None:
     addresses = tuple(context.mesh.network.address(relay) for relay in ZONES)
     for relay in ZONES:
         if relay not in context.mesh.network.dark:
             context.mesh.network.tell(relay, RelaysKnown(addresses))
 
 
-@given("the relays have heard of each other")
-def given_known(context: Context) -> None:
+@given("the relays know of each other")
+def given_relays_known(context: Context) -> None:
     context.mesh.network.run(1.0)
-    tell_relays(context)
+    announce_relays(context)
     context.mesh.network.run(1.0)
 
 
 def start_subscriber(
-    context: Context, name: str, zone: str, begins_at: str, **times: float
+    context: Context, name: str, zone: str, first_relay: str, **times: float
 ) -> None:
-    order = sorted(ZONES, key=lambda relay: relay != begins_at)
+    order = sorted(ZONES, key=lambda relay: relay != first_relay)
     settings = SubscriberSettings(
         publishers=tuple(context.mesh.network.address(relay) for relay in order),
         services=("orders",),
         zone=zone,
         longest_pause=0.4,
-        return_backoff=RETURN,
+        return_backoff=RETURN_BACKOFF,
         **times,
     )
     context.mesh.add_reader(name, settings, zone)
 
 
-@given('a proxy "{name}" of zone "{zone}" that begins at "{relay}"')
+@given('a proxy "{name}" of zone "{zone}" that first dials "{relay}"')
 def given_subscriber(context: Context, name: str, zone: str, relay: str) -> None:
     start_subscriber(context, name, zone, relay)
 
 
-@given('{count:d} proxies of zone "{zone}", half of which begin at each relay')
-def given_halves(context: Context, count: int, zone: str) -> None:
-    context.many = [f"many-{number}" for number in range(count)]
-    for number, name in enumerate(context.many):
+@given('{count:d} proxies of zone "{zone}", half of which first dial each relay')
+def given_split_proxies(context: Context, count: int, zone: str) -> None:
+    context.split_proxies = [f"many-{number}" for number in range(count)]
+    for number, name in enumerate(context.split_proxies):
         start_subscriber(context, name, zone, list(ZONES)[number % 2])
 
 
@@ -78,10 +78,10 @@
 def relay_down(context: Context, relay: str, seconds: int) -> None:
     context.mesh.network.kill(relay)
     context.mesh.network.run(seconds)
-    context.followed_meanwhile = relay_followed(context, "away").name
+    context.followed_during_outage = relay_followed(context, "away").name
     start_relay(context, relay)
     context.mesh.network.run(1.0)
-    tell_relays(context)
+    announce_relays(context)
 
 
 @then('the proxy "{name}" follows "{relay}"')
@@ -89,22 +89,21 @@
     assert relay_followed(context, name).name == relay, relay_followed(context, name).name
 
 
-@then('the proxy "away" has followed "{relay}"')
-def has_followed(context: Context, relay: str) -> None:
-    assert context.followed_meanwhile == relay
+@then('the proxy "away" followed "{relay}" during the outage')
+def followed_other_relay(context: Context, relay: str) -> None:
+    assert context.followed_during_outage == relay
 
 
-@then("they all follow one relay")
-def one_relay(context: Context) -> None:
-    followed = {relay_followed(context, name).name for name in context.many}
+@then("they all follow the same relay")
+def same_relay(context: Context) -> None:
+    followed = {relay_followed(context, name).name for name in context.split_proxies}
     assert len(followed) == 1, followed
 
 
 @then(
-    "for any relays and zones the preferred one is of the own zone if there is one, "
-    "whatever the order"
+    "for random relays and zones a relay of the own zone is preferred if there is one, in any order"
 )
-def any_relays(context: Context) -> None:
+def zone_is_preferred(context: Context) -> None:
     zones = st.sampled_from(["a", "b", "c"])
 
     @PROPERTY
@@ -125,8 +124,8 @@
     check()
 
 
-@then("of many zones without a relay no relay has more than twice its part")
-def spread(context: Context) -> None:
+@then("no relay is preferred by more than twice its share of many zones without a relay")
+def preferred_evenly(context: Context) -> None:
     listed = tuple(
         ListedPublisher(Address(f"10.0.{number}.7", 7241), "elsewhere")
         for number in range(FEW_RELAYS)
@@ -136,15 +135,15 @@
 
 
 @given(
-    'a proxy "{name}" of zone "{zone}" that begins at "{relay}" and finds it stale after '
+    'a proxy "{name}" of zone "{zone}" that first dials "{relay}" and considers it stale after '
     "{stale:d} seconds"
 )
-def given_hasty(context: Context, name: str, zone: str, relay: str, stale: int) -> None:
+def given_short_staleness(context: Context, name: str, zone: str, relay: str, stale: int) -> None:
     start_subscriber(context, name, zone, relay, stale_after=float(stale), probe_interval=0.5)
 
 
-@when('the proxy "{name}" and "{relay}" are cut from each other without a word')
-def cut(context: Context, name: str, relay: str) -> None:
+@when('the link between the proxy "{name}" and "{relay}" is cut silently')
+def cut_link(context: Context, name: str, relay: str) -> None:
     context.mesh.network.cuts.add(frozenset((name, relay)))
 
 
@@ -160,22 +159,22 @@
     context.now = context.search.next_deadline()
     (dial,) = context.search.on_deadline(context.now)
     assert isinstance(dial, OpenConnection)
-    (context.asked,) = context.search.opened(dial.connection, context.now)
+    (context.probe,) = context.search.opened(dial.connection, context.now)
 
 
 def answer(context: Context, *, current: bool) -> FreshnessAnswer:
-    nonce = context.asked.message.nonce
+    nonce = context.probe.message.nonce
     return FreshnessAnswer(nonce=nonce, version=1, unproved=not current)
 
 
 def answers_not_current(context: Context) -> list[Output]:
-    told = answer(context, current=False)
-    assert not context.search.is_better(told, 1, context.now)
-    return context.search.not_better(told, context.now)
+    message = answer(context, current=False)
+    assert not context.search.is_better(message, 1, context.now)
+    return context.search.not_better(message, context.now)
 
 
 @when("the candidate answers that it is not current")
-def not_current(context: Context) -> None:
+def answers_once_not_current(context: Context) -> None:
     assert answers_not_current(context) == []
 
 
@@ -183,31 +182,31 @@
 def asks_again(context: Context, seconds: float) -> None:
     assert math.isclose(context.search.next_deadline(), context.now + seconds)
     context.now += seconds
-    (context.asked,) = context.search.on_deadline(context.now)
-    assert isinstance(context.asked.message, FreshnessProbe)
+    (context.probe,) = context.search.on_deadline(context.now)
+    assert isinstance(context.probe.message, FreshnessProbe)
 
 
 @when("the candidate answers that it is current")
-def is_current(context: Context) -> None:
-    context.better = context.search.is_better(answer(context, current=True), 1, context.now)
+def answers_current(context: Context) -> None:
+    context.is_better = context.search.is_better(answer(context, current=True), 1, context.now)
 
 
-@then("the candidate is better")
+@then("the candidate is accepted as better")
 def candidate_better(context: Context) -> None:
-    assert context.better
+    assert context.is_better
 
 
-@when("the candidate answers for {seconds:d} seconds that it is not current")
-def not_current_for(context: Context, seconds: int) -> None:
+@when("the candidate keeps answering for {seconds:d} seconds that it is not current")
+def keeps_not_current(context: Context, seconds: int) -> None:
     end = context.now + seconds
-    context.given_up = []
-    while context.now < end and not context.given_up:
-        context.given_up = answers_not_current(context)
-        if not context.given_up:
+    context.closing = []
+    while context.now < end and not context.closing:
+        context.closing = answers_not_current(context)
+        if not context.closing:
             asks_again(context, ASK_INTERVAL)
 
 
-@then("the search has given the candidate up")
-def given_up(context: Context) -> None:
-    (close,) = context.given_up
+@then("the search has closed the link to the candidate")
+def closed_link(context: Context) -> None:
+    (close,) = context.closing
     assert isinstance(close, CloseConnection), close
--- a/src/limelever/relay/endpoint_exchange.py
+++ b/src/limelever/relay/endpoint_exchange.py
@@ -179,9 +179,9 @@
         ]
         return [*self._sync.handle_request(connection, request, now), *full_state]
 
-    def merge_crashes(self, news: CrashNews, now: float) -> None:
+    def merge_crashes(self, update: CrashNews, now: float) -> None:
         """Merge an update of the crash history from a proxy."""
-        self._crashes.merge(news, now)
+        self._crashes.merge(update, now)
 
     def add_proxy(
         self, connection: ConnectionId, scope: Scope, zone: str, now: float
