--- a/features/relay/region_cut.feature
+++ b/features/relay/region_cut.feature
@@ -1,5 +1,5 @@
 Feature: A region that is partitioned for an hour keeps its configuration, and catches up by deltas
-  Guards against proxies that lose their configuration in a partition, and snapshots for all after it.
+  Guards against configuration that is lost in a partition, and against snapshots for all proxies after it.
 
   Background:
     Given a region "near" of the zones "near-1" with the source
@@ -9,7 +9,7 @@
     When 10 seconds pass over the regions
     And the network between the regions is partitioned
 
-  Scenario: A partition of an hour
+  Scenario: Configuration and endpoints during a partition of an hour and after it
     When the configuration changes 40 times in 3600 seconds
     Then every proxy in "near" holds the newest version
     And every proxy in "far" holds the complete version from before the partition
--- a/src/limelever/relay/endpoint_table.py
+++ b/src/limelever/relay/endpoint_table.py
@@ -79,7 +79,7 @@
         return self._settings.relay_grace
 
     def local_changes_since(self, local_change: int) -> list[Endpoint] | None:
-        """Return the endpoints leased here that changed after a change, by sequence number.
+        """Return the endpoints leased here that changed after ``local_change``, sorted by name.
 
         Returns ``None`` if a tombstone of a later change was removed.
         """
--- a/src/limelever/relay/leases.py
+++ b/src/limelever/relay/leases.py
@@ -25,7 +25,7 @@
 from limelever.relay.endpoint_table import EndpointTable
 
 _MS_PER_SECOND = 1000
-OLDER_INCARNATION = "a newer incarnation is registered"
+OUTDATED_INCARNATION = "a newer incarnation is registered"
 UNKNOWN_LEASE = "no lease is held on this link"
 
 
@@ -98,12 +98,12 @@
 
 def _refuse(connection: ConnectionId, endpoint: Endpoint) -> LeaseResult:
     """Refuse an older incarnation, and close the link so that it does not retry at once."""
-    fields: dict[str, object] = {"agent": endpoint.instance, "reason": OLDER_INCARNATION}
-    lost = LeaseLost(incarnation=endpoint.incarnation, reason=OLDER_INCARNATION)
+    fields: dict[str, object] = {"agent": endpoint.instance, "reason": OUTDATED_INCARNATION}
+    lost = LeaseLost(incarnation=endpoint.incarnation, reason=OUTDATED_INCARNATION)
     return LeaseResult(
         [
             SendMessage(connection, lost),
-            CloseConnection(connection, OLDER_INCARNATION),
+            CloseConnection(connection, OUTDATED_INCARNATION),
             LogEvent(events.LEASE_REFUSED, fields),
         ]
     )
--- a/src/limelever/relay/peer_relay.py
+++ b/src/limelever/relay/peer_relay.py
@@ -34,8 +34,8 @@
 class PeerRelay:
     """Dials one relay and replicates its endpoints; times in seconds, monotonic.
 
-    The endpoints stay for the table's grace period when the link is lost. A link without any
-    message for ``idle_timeout`` counts as lost.
+    The endpoints stay for the table's grace period when the link is lost. A link
+    without an ``EndpointSync`` message for ``idle_timeout`` counts as lost.
     """
 
     def __init__(
