--- a/src/limelever/limits/admission_plan.py
+++ b/src/limelever/limits/admission_plan.py
@@ -16,22 +16,24 @@
 load until the updates arrive."""
 
 PLANNING_HORIZON = 0.5
-"""Seconds for which a fraction is planned: two update rounds."""
+"""Seconds for which a fraction is planned, and after which the next update counts as late. Longer
+than the keepalive interval."""
 
-_UNREPORTED_SLACK_FRACTION = 0.25
-"""Fraction of the slack, in calls a second, by which requests may exceed the rate before proxies
-receive updates; the calls of small tenants are bursty."""
+_REQUEST_RATE_SLACK_FRACTION = 0.25
+"""Requested calls a second above the limit's rate from which proxies receive updates, as a fraction
+of the slack; the calls of small tenants are bursty."""
 
 MAX_PERMILLE = 60_000
+"""Highest value sent to proxies. More than 1000 permits a rise above the current request rate."""
 
 
 def admission_permille(
     usage: UsageWindow, tokens: float, rate: float, target: float, now: float
 ) -> int:
-    """Return how many of 1000 requested calls may be admitted.
+    """Return how many calls may be admitted for each 1000 requested recently; may exceed 1000.
 
-    ``tokens`` are the calls that may be admitted at once, negative for a debt, and ``rate`` those a
-    second. ``target`` bounds the calls in the window.
+    ``tokens`` and ``rate`` are the level of the tenant's token bucket, negative for a debt, and its
+    refill rate in calls a second. ``target`` is the most calls to admit in the window.
     """
     room = max(0.0, target - usage.admitted(now) + usage.expiring(now, PLANNING_HORIZON))
     planned_rate = min(room / PLANNING_HORIZON, max(0.0, rate + tokens / PLANNING_HORIZON))
@@ -55,4 +57,4 @@
     if any(usage.has_recent_refusals(now) for usage in parts):
         return True
     requested = sum(usage.request_rate(now) for usage in parts)
-    return requested > limit.rate + _UNREPORTED_SLACK_FRACTION * rules.slack
+    return requested > limit.rate + _REQUEST_RATE_SLACK_FRACTION * rules.slack
--- a/src/limelever/limits/burst_bucket.py
+++ b/src/limelever/limits/burst_bucket.py
@@ -24,7 +24,7 @@
     def tokens(self, usage: UsageWindow, rate: float, capacity: float, now: float) -> float:
         """Return the tokens left, with ``rate`` tokens a second; negative for a debt."""
         current = int(now // SLOT_SECONDS)
-        first = current - usage.length + 1
+        first = current - usage.slot_count + 1
         level = self._level_by_slot.get(first - 1, capacity)
         levels: dict[int, float] = {}
         for slot in range(first, current):
--- a/src/limelever/limits/reachable_proxies.py
+++ b/src/limelever/limits/reachable_proxies.py
@@ -23,8 +23,8 @@
 serving calls. Longer than partitions that heal by themselves."""
 
 SETTLING_TIME = 3.0
-"""Seconds for which a number of proxies must be reached to count: a proxy that changes relays is
-briefly counted at both."""
+"""Seconds for which a number of proxies must be reached to count towards the fleet size: a proxy
+that changes relays is briefly counted at both."""
 
 
 class _ProxyCount(Struct, frozen=True):
@@ -36,6 +36,7 @@
     """Tracks the number of reachable proxies and the fleet size; times in seconds, monotonic."""
 
     def __init__(self) -> None:
+        # Monotonic queues: the first entry is the minimum or maximum of its period.
         self._minima: deque[_ProxyCount] = deque()
         self._maxima: deque[_ProxyCount] = deque()
         self._reachable = 0
--- a/src/limelever/limits/rules.py
+++ b/src/limelever/limits/rules.py
@@ -1,11 +1,12 @@
-"""A tenant's limit, the number of calls that it guarantees, and the fleet's target below that."""
+"""A tenant's limit, the hard limit on its calls in a window, and the fleet's target below that."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-_USED_MARGIN_FRACTION = 0.1
-"""Fraction of the permitted excess that the target uses; the rest covers calls not yet reported."""
+_TARGET_EXCESS_FRACTION = 0.1
+"""Fraction of the excess permitted by the hard limit that the target uses; the rest covers calls
+that are not reported yet."""
 
 _BURST_SLACK_FRACTION = 0.25
 """Fraction of the slack that may be used at once; the calls of small tenants are bursty."""
@@ -34,15 +35,15 @@
         return limit.rate * self.window + limit.burst
 
     def max_calls(self, limit: Limit) -> float:
-        """Return the calls in a window that must never be exceeded."""
+        """Return the hard limit: the calls in a window that must never be exceeded."""
         return self.nominal_calls(limit) * (1 + self.excess) + self.slack
 
     def burst_capacity(self, limit: Limit) -> float:
-        """Return the calls that the fleet admits at once at most, by the usage known to it."""
+        """Return the most calls that the fleet admits at once, going by the reported usage."""
         margin = self.target_calls(limit) - self.nominal_calls(limit)
         return limit.burst + margin + _BURST_SLACK_FRACTION * self.slack
 
     def target_calls(self, limit: Limit) -> float:
-        """Return the calls that the fleet admits in a window at most, by the usage known to it."""
+        """Return the most calls that the fleet admits in a window, going by the reported usage."""
         nominal = self.nominal_calls(limit)
-        return nominal + (self.max_calls(limit) - nominal) * _USED_MARGIN_FRACTION
+        return nominal + (self.max_calls(limit) - nominal) * _TARGET_EXCESS_FRACTION
--- a/src/limelever/limits/tenant_limiter.py
+++ b/src/limelever/limits/tenant_limiter.py
@@ -17,16 +17,17 @@
 
 _UNTHROTTLED_GROWTH = 2.5
 """Refill rate without a fraction from the relay, as a multiple of the proxy's equal share or recent
-usage, whichever is greater. Leaves room for the callers of a failed zone."""
+usage, whichever is greater. Leaves room for calls that move here from a failed zone."""
 
 _UNTHROTTLED_BURST = 3.0
 _UNTHROTTLED_BURST_FRACTION = 0.07
-"""Token bucket capacity without a fraction: calls, plus a fraction of the window's usual calls."""
+"""Token bucket capacity without a fraction from the relay: a number of calls, plus this part of the
+proxy's equal share or recent usage, whichever is greater."""
 
 _THROTTLED_GROWTH = 1.25
 _THROTTLED_BURST = 2.0
-"""The same for a tenant near its limit; lower, as the relay sends a new fraction when there is
-room."""
+"""Refill rate as a multiple of the rate that the relay's fraction admits, and token bucket capacity
+in calls. Lower than without a fraction, as the relay raises the fraction when there is room."""
 
 _ISOLATED_FRACTION = 0.7
 _ISOLATED_NEAR_LIMIT_FRACTION = 0.5
@@ -41,10 +42,11 @@
 """Factor on admission rates while an update is overdue: the connection may be lost."""
 
 _ROUNDING_WINDOWS = 4
-"""Windows between two draws of the rounding offset of an isolated proxy's share."""
+"""Windows after which an isolated proxy draws a new random offset for rounding its share to whole
+calls, so that tenants with a share below one call are admitted at some proxies at a time."""
 
 MIN_RETRY_AFTER = 0.1
-"""Seconds; equals the shortest interval between relay updates."""
+"""Seconds; the shortest interval between relay updates."""
 
 
 class TenantLimiter:
@@ -66,7 +68,7 @@
         self._rounding_drawn_at = 0.0
 
     def set_permille(self, permille: int, now: float) -> None:
-        """Set how many of 1000 requested calls to admit until the next update."""
+        """Set how many calls to admit for each 1000 requested, until the next update."""
         requested = max(
             self.usage.request_rate(now), self.usage.requested(now) / self._rules.window
         )
@@ -81,7 +83,7 @@
     def is_throttled(self, update_age: float) -> bool:
         """Return whether a current fraction from the relay admits fewer calls than are requested.
 
-        The caller then refuses calls that can't be answered in time, so that they don't displace
+        The proxy then refuses calls that can't be answered in time, so that they don't displace
         calls that can.
         """
         return self._has_fraction and self._fraction < 1.0 and update_age <= PEER_TIMEOUT
@@ -136,7 +138,7 @@
         return self._isolated_calls + 1 - self._rounding_offset <= self._rules.slack / fleet_size
 
     def _admits_fraction(self, factor: float = 1.0) -> bool:
-        """Return whether a call is among the fraction to admit."""
+        """Return whether a call is among the relay's fraction, times ``factor``, to admit."""
         self._fraction_credit = min(2.0, self._fraction_credit + min(1.0, factor * self._fraction))
         if self._fraction_credit < 1.0:
             return False
@@ -144,7 +146,7 @@
         return True
 
     def _admits_connected(self, share: float, factor: float, now: float) -> bool:
-        """Return whether a call fits the relay's fraction, or the default rate without one."""
+        """Return whether a call fits the relay's fraction, or without one the unthrottled rate."""
         if not self._has_fraction:
             usual = max(share, self.usage.admitted(now))
             rate = factor * _UNTHROTTLED_GROWTH * usual / self._rules.window
--- a/src/limelever/limits/usage_window.py
+++ b/src/limelever/limits/usage_window.py
@@ -7,14 +7,14 @@
 from msgspec import Struct
 
 SLOT_SECONDS = 0.25
-"""Length of a slot. Counts stay in the window for up to one slot too long, never too short."""
+"""Length of a slot. Counts leave the window up to one slot late, but never early."""
 
 RATE_SLOTS = 3
-"""Complete slots over which the request rate is averaged; enough for a few calls of a small
-tenant."""
+"""Complete slots, besides the current one, over which the request rate is averaged. Fewer would
+make the rate of small tenants too noisy."""
 
 REFUSAL_SLOTS = 8
-"""Slots for which a refusal counts as recent."""
+"""Slots before the current one in which a refusal counts as recent."""
 
 
 class SlotCounts(Struct):
@@ -28,15 +28,15 @@
     """Call counts of one tenant; times are seconds of the monotonic clock."""
 
     def __init__(self, window: float) -> None:
-        self._length = int(window / SLOT_SECONDS) + 1
+        self._slot_count = int(window / SLOT_SECONDS) + 1
         self._slots: dict[int, SlotCounts] = {}
         self._admitted = 0
-        self._last_expired = -self._length
+        self._last_expired = -self._slot_count
 
     @property
-    def length(self) -> int:
+    def slot_count(self) -> int:
         """Return the number of slots in the window, including the current one."""
-        return self._length
+        return self._slot_count
 
     def admitted_in(self, slot: int) -> int:
         """Return the calls admitted in one slot."""
@@ -73,7 +73,7 @@
 
     def expiring(self, now: float, within: float) -> int:
         """Return the admitted calls that leave the window within the given seconds."""
-        last = int((now + within) // SLOT_SECONDS) - self._length
+        last = int((now + within) // SLOT_SECONDS) - self._slot_count
         return sum(counts.admitted for slot, counts in self._slots.items() if slot <= last)
 
     def request_rate(self, now: float) -> float:
@@ -89,7 +89,7 @@
         return sum(counts.admitted + counts.refused for counts in self._slots.values())
 
     def has_recent_refusals(self, now: float) -> bool:
-        """Return whether calls were refused in the last ``REFUSAL_SLOTS`` slots."""
+        """Return whether calls were refused in the current or the last ``REFUSAL_SLOTS`` slots."""
         oldest = int(now // SLOT_SECONDS) - REFUSAL_SLOTS
         return any(counts.refused for slot, counts in self._slots.items() if slot >= oldest)
 
@@ -105,7 +105,7 @@
         return not self._slots
 
     def _drop_expired(self, now: float) -> None:
-        last = int(now // SLOT_SECONDS) - self._length
+        last = int(now // SLOT_SECONDS) - self._slot_count
         if last == self._last_expired:
             return
         self._last_expired = last
