--- a/src/limelever/quarantine/crash_history.py
+++ b/src/limelever/quarantine/crash_history.py
@@ -5,7 +5,7 @@
 The table is bounded by age and size; the requests with the fewest crashes are evicted first.
 
 A crash has a depth: one more than the consecutive crashes that the proxy knew of when it sent the
-call. Back ends that crash at the same time, for whatever cause, thus don't incriminate the requests
+call. Back ends that crash at the same time, for whatever cause, thus don't quarantine the requests
 that were running at all of them; only a request that is sent again after each crash gains depth.
 """
 
@@ -45,7 +45,7 @@
 class CrashRecord(Struct):
     """The crashes of one request; ``last_crash_at`` is in seconds, monotonic.
 
-    ``crashes`` holds the depth of each crash by its id.
+    ``crashes`` holds the depth of each crash by its id, a random number drawn for each crash.
     """
 
     fingerprint: Fingerprint
@@ -59,9 +59,9 @@
 
         A depth that includes cleared crashes is limited to the number of crashes left.
         """
-        counting = self.crashes.keys() - self.cleared
-        max_depth = max((self.crashes[crash] for crash in counting), default=0)
-        return min(max_depth, len(counting))
+        uncleared = self.crashes.keys() - self.cleared
+        max_depth = max((self.crashes[crash] for crash in uncleared), default=0)
+        return min(max_depth, len(uncleared))
 
     @property
     def is_quarantined(self) -> bool:
@@ -70,7 +70,7 @@
 
 
 class CrashHistory:
-    """Crash records by request; times are seconds of the monotonic clock."""
+    """Crash records by request digest (``Fingerprint.request``); times in seconds, monotonic."""
 
     def __init__(self) -> None:
         self._by_request: dict[int, CrashRecord] = {}
@@ -92,7 +92,7 @@
         return tuple(self._by_request.values())
 
     def add_crash(self, suspects: Iterable[SuspectRequest], crash: int, now: float) -> list[int]:
-        """Record a crash for the requests that were running; return those that changed."""
+        """Record a crash by its id for the requests that were running; return those changed."""
         records = (
             CrashRecord(each.fingerprint, {crash: each.known_depth + 1}, frozenset(), now)
             for each in suspects
@@ -104,23 +104,23 @@
         return changed
 
     def clear(self, request: int) -> bool:
-        """Clear all crashes of a request; return whether any counted."""
+        """Clear all crashes of a request; return whether any was not cleared before."""
         record = self._by_request.get(request)
         if record is None or not record.consecutive_crashes:
             return False
         record.cleared |= record.crashes.keys()
         return True
 
-    def merge(self, news: CrashNews, now: float) -> list[int]:
+    def merge(self, update: CrashNews, now: float) -> list[int]:
         """Merge an update from another replica; return the requests that changed."""
         changed = [
-            each.request for each in news.suspects if self._merge_record(_decode(each, now), now)
+            each.request for each in update.suspects if self._merge_record(_decode(each, now), now)
         ]
         self._evict()
         return changed
 
     def update_for(self, requests: Iterable[int], now: float, full: bool = False) -> CrashNews:
-        """Return an update with the records of some requests."""
+        """Return an update with the records of some requests; ``full`` says that these are all."""
         records = (self._by_request.get(request) for request in requests)
         return CrashNews(full=full, suspects=[_encode(record, now) for record in records if record])
 
@@ -129,9 +129,9 @@
         self.expire(now)
         return self.update_for(self._by_request, now, full=True)
 
-    def missing_from(self, news: CrashNews) -> list[int]:
+    def missing_from(self, update: CrashNews) -> list[int]:
         """Return the requests whose records are missing or incomplete in a full update."""
-        received = {each.request: each for each in news.suspects}
+        received = {each.request: each for each in update.suspects}
         return [
             request
             for request, record in self._by_request.items()
--- a/src/limelever/rollout/canary_analysis.py
+++ b/src/limelever/rollout/canary_analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis: compares the answers of a version with those of the baseline.
+"""Canary analysis: compares the answers of a target version with those of the baseline version.
 
 Routes are compared one by one and all together, as a version may fail or be slow on a single route.
 An answer is bad if it is a failure or slower than the 99th percentile of the baseline.
@@ -26,7 +26,8 @@
 instances."""
 
 MIN_BAD_ANSWERS = 4
-"""Bad answers required for any conclusion, as two or three may have a common cause."""
+"""Bad answers required to find a version suspect or bad, as two or three may have a common
+cause."""
 
 MIN_BASELINE_ANSWERS = 30
 """Answers of a route at the baseline required to compare durations."""
@@ -43,7 +44,7 @@
 
 
 class Finding(Enum):
-    """The assessment of a version."""
+    """The assessment of a target version."""
 
     UNKNOWN = auto()
     """Too few calls have ended."""
@@ -54,7 +55,7 @@
 
 
 class Verdict(Struct, frozen=True):
-    """A finding; ``reason`` holds the counts behind it."""
+    """A finding; ``reason`` states the counts that led to it."""
 
     finding: Finding
     reason: str
@@ -66,7 +67,7 @@
 
 
 def analyze(target: Mapping[str, RouteSums], baseline: Mapping[str, RouteSums]) -> Verdict:
-    """Compare the sums of a version with those of the baseline, by route."""
+    """Compare the sums of the target version with those of the baseline, by route."""
     target_total, baseline_total = _Counts(), _Counts()
     highest, reason = 0.0, "no route has more bad answers than the baseline's"
     for route, sums in target.items():
@@ -92,7 +93,7 @@
 
 
 def _counts(sums: RouteSums, baseline: RouteSums) -> tuple[_Counts, _Counts]:
-    """Return the answers and bad answers of a route, at the version and at the baseline."""
+    """Return the answers and bad answers of a route, at the target version and at the baseline."""
     bad, baseline_bad = sums.failures, baseline.failures
     if baseline.answers >= MIN_BASELINE_ANSWERS:
         first_slow = first_bucket_above(baseline.times, SLOW_QUANTILE)
@@ -121,5 +122,5 @@
 
 
 def _summary(where: str, counts: _Counts, baseline: _Counts) -> str:
-    expected = f"{baseline.bad} of {baseline.answers} at the baseline"
-    return f"{where}: {counts.bad} of {counts.answers} answers were bad, {expected}"
+    at_baseline = f"{baseline.bad} of {baseline.answers} at the baseline"
+    return f"{where}: {counts.bad} of {counts.answers} answers were bad, {at_baseline}"
--- a/src/limelever/rollout/tally.py
+++ b/src/limelever/rollout/tally.py
@@ -20,7 +20,7 @@
 
 BUCKET_GROWTH = 1.25
 BUCKET_COUNT = 48
-"""The last bucket begins at 36 s, beyond the longest call."""
+"""The last bucket counts all calls of more than 28.7 s."""
 
 MAX_ROUTES = 64
 """Routes counted separately; bounds the size of a message. Further routes are counted together."""
@@ -87,7 +87,7 @@
 
 
 def answer_count(tally: VersionTally) -> int:
-    """Return the calls in a message; of two messages of one agent, the higher count is newer."""
+    """Return the calls in a message; of an agent's messages, the one with most calls is newest."""
     return sum(route.answers for route in tally.routes)
 
 
