--- a/features/quarantine/crash_history.feature
+++ b/features/quarantine/crash_history.feature
@@ -1,13 +1,13 @@
-Feature: All machines record the same crashes of back ends, and quarantine the requests behind them
-  Guards against replicas that diverge, and against harmless requests in quarantine.
+Feature: Replicas of the crash history agree on the requests that are quarantined for crashing back ends
+  Guards against replicas that diverge, and against harmless requests that stay quarantined.
 
   Scenario: Replicas converge when updates are reordered, repeated or relayed
-    Then any crashes and answers, sent in any order and any number of times, leave all machines with the same records
+    Then any crashes and answers, sent in any order and any number of times, leave all replicas with the same records
 
   Scenario: Three crashes in a row quarantine a request, and an answer clears it
-    Given 2 crashes in a row under a request
+    Given a request with 2 crashes in a row
     Then the request is not quarantined
-    When a third back end crashes under it
+    When a third back end crashes while running it
     Then the request is quarantined
     When the request is answered
     Then the request is not quarantined
@@ -15,20 +15,20 @@
     Then the request is not quarantined
 
   Scenario: Back ends that crash at once don't quarantine a request that ran at all of them
-    When 12 back ends crash at once under a request that runs at all of them
+    When 12 back ends crash at once while a request runs at all of them
     Then the request is not quarantined
 
   Scenario: The crash history is bounded, and records with the fewest crashes are evicted first
-    Given 3 crashes in a row under a request
+    Given a request with 3 crashes in a row
     When 5000 other requests have one crash each
     Then at most 1024 requests are recorded, and the quarantined one is among them
     And a full update takes at most 50000 bytes
 
   Scenario: Old crashes expire, and a quarantined request is remembered for longer than its quarantine
-    Given 2 crashes in a row under a request
+    Given a request with 2 crashes in a row
     When 600 seconds pass for the crash history
     Then the request is not recorded
-    Given 3 crashes in a row under a request
+    Given a request with 3 crashes in a row
     When 300 seconds pass for the crash history
     Then the request is quarantined
 
@@ -43,4 +43,4 @@
     Given 12 proxies that quarantine a harmless request after 3 crashes
     When it arrives at a random one of them every 0.6 seconds
     Then it is answered after 120 to 240 seconds, and by every proxy from then on
-    And a request that crashes back ends reaches 1 of them in that time
+    And a request that crashes each back end reaches only 1 within twice the initial quarantine
--- a/features/rollout/rollout.feature
+++ b/features/rollout/rollout.feature
@@ -2,9 +2,9 @@
   Guards against bad versions that are promoted, good ones that are rolled back, and calls beyond the exposure limit.
 
   Scenario: Good versions are found good, and failing or slow ones bad
-    Given random versions, each compared with a baseline of the same service
-    Then at most 1 in 100 good ones is found bad or suspect
-    And at least 98 in 100 bad ones are found bad within 600 calls
+    Given random services, whose version "v2" is compared with the baseline "v1"
+    Then at most 1 in 100 good versions is found bad or suspect
+    And at least 98 in 100 bad versions are found bad within 600 calls
 
   Scenario: A version that fails on a rare route only is found bad
     Given a version whose rare route fails 5 of 10 calls while other routes succeed
@@ -12,7 +12,7 @@
 
   Scenario: Failures that the baseline shares don't count against a version
     Given a version and a baseline that both fail 2 of 10 calls
-    Then the version is not found bad
+    Then the version is found good
 
   Scenario: Tallies of agents can be merged in any order
     Given the tallies of several agents, their sums don't depend on the order
@@ -25,25 +25,25 @@
 
   Scenario: A version without enough answers is rolled back
     Given a rollout of 16 seconds at a service with 40 back ends
-    Then without a ready back end of the version it is rolled back before the deadline
+    Then without a ready back end of the target version it is rolled back before the deadline
     And without enough answers it is rolled back before the deadline
 
-  Scenario Outline: Proxies split calls between versions as the rollout says
+  Scenario Outline: Proxies split calls between versions by the rollout's state and fraction
     Given a service with endpoints of versions "v1" and "v2", and one of unknown version
-    When its rollout from "v1" to "v2" is <state> at <permille>
+    When its rollout from "v1" to "v2" is <state> at <permille> permille
     Then <part> of its calls go to "v2" and the others to "v1"
 
     Examples:
-      | state       | permille | part     |
-      | running     | 0        | none     |
-      | running     | 50       | about 50 |
-      | running     | 1000     | all      |
-      | completed   | 1000     | all      |
-      | rolled back | 50       | none     |
+      | state       | permille | part              |
+      | running     | 0        | none              |
+      | running     | 50       | about 50 permille |
+      | running     | 1000     | all               |
+      | completed   | 1000     | all               |
+      | rolled back | 50       | none              |
 
   Scenario: All proxies send the canary calls to the same few endpoints
     Given a service with endpoints of versions "v1" and "v2", and one of unknown version
-    When its rollout from "v1" to "v2" is running at 50
+    When its rollout from "v1" to "v2" is running at 50 permille
     Then two proxies send the canary calls to the same 1 endpoint of "v2"
 
   Scenario: Without a rollout all versions receive calls
@@ -70,7 +70,7 @@
     Then the other relay received tallies of 5 and 8 calls
     And the board holds 8 calls for the rollout and none for another
 
-  Scenario: A suspect version is rolled back at the deadline, and a bad one at once
+  Scenario: A suspect version is rolled back before the deadline, and a bad one at once
     Given a rollout of 16 seconds at a service with 40 back ends
     Then a suspect version is rolled back before the deadline
     And a version that turns bad after 5 seconds is rolled back then
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -22,9 +22,9 @@
 from limelever.quarantine.fingerprint import Fingerprint
 from limelever.quarantine.policy import quarantine_duration
 
-CASES = settings(derandomize=True, max_examples=200, deadline=None, database=None)
+PROPERTY_SETTINGS = settings(derandomize=True, max_examples=200, deadline=None, database=None)
 REQUEST = Fingerprint.of("orders", b"GET", b"/orders/1", b"")
-MACHINES = 4
+REPLICAS = 4
 REQUESTS = 3
 CRASHED = Failure(ErrorKind.BACKEND_CRASHED, "the back end's process has ended")
 UPDATE_DELAY = 0.1
@@ -36,46 +36,46 @@
 
 
 @then(
-    "any crashes and answers, sent in any order and any number of times, leave all machines with "
+    "any crashes and answers, sent in any order and any number of times, leave all replicas with "
     "the same records"
 )
 def step_replicas_converge(context: Context) -> None:
-    machine, request = st.integers(0, MACHINES - 1), st.integers(0, REQUESTS - 1)
+    replica, request = st.integers(0, REPLICAS - 1), st.integers(0, REQUESTS - 1)
     step = st.one_of(
-        st.tuples(st.just("crash"), machine, request, st.integers(1, 6)),
-        st.tuples(st.just("answer"), machine, request, st.just(0)),
-        st.tuples(st.just("update"), machine, machine, st.just(0)),
+        st.tuples(st.just("crash"), replica, request, st.integers(1, 6)),
+        st.tuples(st.just("answer"), replica, request, st.just(0)),
+        st.tuples(st.just("update"), replica, replica, st.just(0)),
     )
 
-    @CASES
+    @PROPERTY_SETTINGS
     @examples(st.lists(step, max_size=40), st.randoms(use_true_random=False))
-    def check(steps, draw) -> None:
-        machines = [CrashHistory() for _ in range(MACHINES)]
+    def check(steps, random_source) -> None:
+        replicas = [CrashHistory() for _ in range(REPLICAS)]
         for kind, first, second, crash in steps:
             if kind == "crash":
-                machines[first].add_crash(
+                replicas[first].add_crash(
                     (SuspectRequest(numbered_request(second), crash % 3),), crash, 0.0
                 )
             elif kind == "answer":
-                machines[first].clear(numbered_request(second).request)
+                replicas[first].clear(numbered_request(second).request)
             else:
-                machines[second].merge(machines[first].full_update(0.0), 0.0)
-        for _ in range(MACHINES):
-            order = draw.sample(range(MACHINES), MACHINES)
+                replicas[second].merge(replicas[first].full_update(0.0), 0.0)
+        for _ in range(REPLICAS):
+            order = random_source.sample(range(REPLICAS), REPLICAS)
             for sender in order:
-                for receiver in draw.sample(range(MACHINES), MACHINES):
-                    machines[receiver].merge(machines[sender].full_update(0.0), 0.0)
+                for receiver in random_source.sample(range(REPLICAS), REPLICAS):
+                    replicas[receiver].merge(replicas[sender].full_update(0.0), 0.0)
         records = [
-            {each.fingerprint: (each.crashes, each.cleared) for each in machine.all()}
-            for machine in machines
+            {each.fingerprint: (each.crashes, each.cleared) for each in replica.all()}
+            for replica in replicas
         ]
         assert all(each == records[0] for each in records), records
-        assert not any(each.missing_from(machines[0].full_update(0.0)) for each in machines)
+        assert not any(each.missing_from(replicas[0].full_update(0.0)) for each in replicas)
 
     check()
 
 
-@given("{count:d} crashes in a row under a request")
+@given("a request with {count:d} crashes in a row")
 def step_crashes(context: Context, count: int) -> None:
     context.now = 0.0
     context.history = CrashHistory()
@@ -84,14 +84,14 @@
     context.full_update = context.history.full_update(context.now)
 
 
-@when("{count:d} back ends crash at once under a request that runs at all of them")
+@when("{count:d} back ends crash at once while a request runs at all of them")
 def step_simultaneous_crashes(context: Context, count: int) -> None:
     context.now, context.history = 0.0, CrashHistory()
     for crash in range(count):
         context.history.add_crash((SuspectRequest(REQUEST),), crash + 1, context.now)
 
 
-@when("a third back end crashes under it")
+@when("a third back end crashes while running it")
 def step_third_crash(context: Context) -> None:
     context.history.add_crash((SuspectRequest(REQUEST, 2),), 3, context.now)
 
@@ -134,8 +134,8 @@
 
 @then("a full update takes at most {size:d} bytes")
 def step_update_bounded(context: Context, size: int) -> None:
-    news: CrashNews = context.history.full_update(context.now)
-    assert len(news.SerializeToString()) <= size, len(news.SerializeToString())
+    update: CrashNews = context.history.full_update(context.now)
+    assert len(update.SerializeToString()) <= size, len(update.SerializeToString())
 
 
 @when("{seconds:d} seconds pass for the crash history")
@@ -233,7 +233,10 @@
     assert all(proxies.arrive(each, now + UPDATE_DELAY) for each in range(len(proxies.all)))
 
 
-@then("a request that crashes back ends reaches {count:d} of them in that time")
+@then(
+    "a request that crashes each back end reaches only {count:d} within twice the initial "
+    "quarantine"
+)
 def step_harmful_request(context: Context, count: int) -> None:
     proxies, now, reached = Proxies(len(context.proxies.all), 3), 0.0, 0
     while now < 2 * quarantine_duration(3):
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -41,7 +41,9 @@
 from limelever.rollout.tally import Tally, answer_count, merge_tallies
 from limelever.source.state import StateMachine
 
-PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=60)
+PROPERTY_SETTINGS = hypothesis_settings(
+    derandomize=True, database=None, deadline=None, max_examples=60
+)
 STATES = {
     "running": ROLLOUT_STATE_RUNNING,
     "completed": ROLLOUT_STATE_COMPLETED,
@@ -50,14 +52,19 @@
 LIMIT = ExposureLimit(0.1)
 GOOD = Verdict(Finding.GOOD, "good")
 POLL_INTERVAL = 0.1
+"""Seconds between two decisions on a rollout."""
+
 SEEDS = 50
 MIN_CALLS, MAX_CALLS = 60, 600
 DURATION_FACTORS = (0.6, 0.7, 1.0, 1.4, 1.6)
 """Durations of calls at the instances of one service, relative to the mean."""
 
 
-class RandomVersion:
-    """Random calls to two to four routes; ``fault`` makes a fraction of them bad in "v2"."""
+class RandomService:
+    """A service with two to four routes, called at random.
+
+    ``fault`` makes a fraction of the calls to "v2" bad: "fails", "slow", or empty for none.
+    """
 
     def __init__(self, seed: int, fault: str) -> None:
         self._random = random.Random(seed)
@@ -72,7 +79,7 @@
         self._bad_fraction = self._random.uniform(0.3, 1.0)
         self._slowdown = self._random.uniform(5.0, 9.0)
 
-    def tally(self, version: str, calls: int, instances: int) -> list:
+    def tallies(self, version: str, calls: int, instances: int) -> list:
         tallies = []
         for number in range(instances):
             tally = Tally("orders", f"{version}-{number}", version, 1)
@@ -93,13 +100,13 @@
 
 
 def finding(seed: int, fault: str, calls: int) -> Finding:
-    random_version = RandomVersion(seed, fault)
-    baseline = merge_tallies(random_version.tally("v1", 4000, 40))
-    return analyze(merge_tallies(random_version.tally("v2", calls, 2)), baseline).finding
+    random_service = RandomService(seed, fault)
+    baseline = merge_tallies(random_service.tallies("v1", 4000, 40))
+    return analyze(merge_tallies(random_service.tallies("v2", calls, 2)), baseline).finding
 
 
-@given("random versions, each compared with a baseline of the same service")
-def step_random_versions(context):
+@given('random services, whose version "v2" is compared with the baseline "v1"')
+def step_random_services(context):
     context.findings = {
         "": Counter(finding(seed, "", MAX_CALLS) for seed in range(SEEDS)),
         "fails": Counter(finding(seed, "fails", MAX_CALLS) for seed in range(SEEDS)),
@@ -107,13 +114,13 @@
     }
 
 
-@then("at most 1 in 100 good ones is found bad or suspect")
+@then("at most 1 in 100 good versions is found bad or suspect")
 def step_good_found(context):
     found = context.findings[""]
     assert found[Finding.BAD] + found[Finding.SUSPECT] <= SEEDS // 100, found
 
 
-@then("at least 98 in 100 bad ones are found bad within 600 calls")
+@then("at least 98 in 100 bad versions are found bad within 600 calls")
 def step_bad_found(context):
     for fault in ("fails", "slow"):
         found = context.findings[fault]
@@ -146,8 +153,8 @@
     context.verdict = analyze(sums("v2", one=(160, 40)), sums("v1", one=(1600, 400)))
 
 
-@then("the version is not found bad")
-def step_not_bad(context):
+@then("the version is found good")
+def step_good(context):
     assert context.verdict.finding is Finding.GOOD, context.verdict
 
 
@@ -155,9 +162,9 @@
 def step_merged_tallies(context):
     calls = st.lists(st.tuples(st.sampled_from("abc"), st.floats(0, 50), st.booleans()), max_size=9)
 
-    @PROPERTY
+    @PROPERTY_SETTINGS
     @examples(st.lists(calls, max_size=5), st.randoms(use_true_random=False))
-    def check(agents, order):
+    def check(agents, random_source):
         tallies = []
         for number, agent_calls in enumerate(agents):
             tally = Tally("orders", str(number), "v1", 1)
@@ -165,7 +172,7 @@
                 tally.add_call(*call)
             tallies.append(tally.message())
         shuffled = list(tallies)
-        order.shuffle(shuffled)
+        random_source.shuffle(shuffled)
         assert merge_tallies(tallies) == merge_tallies(shuffled)
         assert sum(map(answer_count, tallies)) == sum(map(len, agents))
 
@@ -178,7 +185,7 @@
 
 
 def run_rollout(context, verdict_at, target_ready=40):
-    """Run a rollout; return its end, first step, fraction of all calls and end time."""
+    """Run a rollout; return its end, first step, the part of calls to the target, end time."""
     permille, exposure, first = 0, 0.0, None
     for poll in range(int(context.duration / POLL_INTERVAL) + 1):
         elapsed = poll * POLL_INTERVAL
@@ -217,7 +224,7 @@
     assert not end.completed and exposure < LIMIT.fraction, (end, exposure)
 
 
-@then("without a ready back end of the version it is rolled back before the deadline")
+@then("without a ready back end of the target version it is rolled back before the deadline")
 def step_no_back_end(context):
     end, _, exposure, elapsed = run_rollout(context, lambda elapsed, step: GOOD, target_ready=0)
     assert not end.completed and not exposure and elapsed < context.duration, end
@@ -261,7 +268,7 @@
     context.gates = [VersionGate(random.Random(seed)) for seed in (1, 2)]
 
 
-@when('its rollout from "{baseline}" to "{target}" is {state} at {permille:d}')
+@when('its rollout from "{baseline}" to "{target}" is {state} at {permille:d} permille')
 def step_rollout_state(context, baseline, target, state, permille):
     rollout = Rollout(
         service="orders", target=target, baseline=baseline, state=STATES[state], permille=permille
@@ -278,7 +285,7 @@
     assert all(len(each) == 1 for each in versions)
     counts = Counter(version for each in versions for version in each)
     assert not counts[""]
-    wanted = {"none": (0, 0), "all": (calls, calls), "about 50": (60, 140)}[part]
+    wanted = {"none": (0, 0), "all": (calls, calls), "about 50 permille": (60, 140)}[part]
     assert wanted[0] <= counts["v2"] <= wanted[1], counts
 
 
