--- a/src/limelever/limits/tenant_limiter.py
+++ b/src/limelever/limits/tenant_limiter.py
@@ -21,8 +21,8 @@
 
 _UNTHROTTLED_BURST = 3.0
 _UNTHROTTLED_BURST_FRACTION = 0.07
-"""Token bucket capacity without a fraction from the relay: a number of calls, plus this part of the
-proxy's equal share or recent usage, whichever is greater."""
+"""Token bucket capacity without a fraction from the relay: calls, plus a part of the proxy's equal
+share or recent usage, whichever is greater. The first applies to fractions of 1 or more as well."""
 
 _THROTTLED_GROWTH = 1.25
 _THROTTLED_BURST = 2.0
