--- a/src/limelever/relay/core.py
+++ b/src/limelever/relay/core.py
@@ -63,7 +63,8 @@
     """Options of a relay's core. ``incarnation`` increases with every start of the process.
 
     ``zone`` is that of the relay, which is announced to subscribers. ``address`` is where others
-    reach the relay, or ``None`` if every process has the relays in its settings.
+    reach the relay, by which it recognises itself in a ``RelaysKnown`` event; it may be ``None`` if
+    there are no such events.
     """
 
     name: str
--- a/src/limelever/relay/crash_broadcast.py
+++ b/src/limelever/relay/crash_broadcast.py
@@ -1,7 +1,8 @@
 """Broadcasts updates of the crash history to proxies and other relays.
 
 A change is sent to all subscribers, including the one it came from, and only once: relays that are
-partitioned from each other receive it through a third. A new subscriber receives the full history.
+partitioned from each other receive it through a third relay. A new subscriber receives the full
+history.
 """
 
 from __future__ import annotations
--- a/src/limelever/relay/endpoint_entry.py
+++ b/src/limelever/relay/endpoint_entry.py
@@ -29,7 +29,7 @@
 
 
 class Precedence(Struct, frozen=True, order=True):
-    """Orders states of one endpoint: the newer wins, and of equally new ones the worse state."""
+    """Orders states of one endpoint: the newer wins; of equally new ones gone, then draining."""
 
     incarnation: int
     sequence: int
@@ -44,7 +44,7 @@
 class EndpointEntry(Struct, frozen=True):
     """An endpoint, or the tombstone of one that is gone.
 
-    ``origin`` is the relay that holds its lease (``LOCAL_ORIGIN`` for this one). ``expires_at``
+    ``origin`` names the relay that holds its lease (``LOCAL_ORIGIN``: this one). ``expires_at``
     (seconds, monotonic) is when the lease, the grace period of a disconnected relay or the
     tombstone ends. ``drained`` stays set for the rest of an incarnation. ``local_change`` is the
     sequence number of the last change while the lease was held here.
--- a/src/limelever/relay/endpoint_exchange.py
+++ b/src/limelever/relay/endpoint_exchange.py
@@ -48,19 +48,20 @@
 
 
 class EndpointExchangeSettings(Struct, frozen=True):
-    """Durations in seconds.
+    """Settings of the endpoint exchange; durations in seconds.
 
-    ``batch`` is the minimum time between two batches of endpoint changes, and ``load_batch`` that
-    between two batches of loads, the report interval of agents. ``silent_after`` is the idle
-    timeout of links to other relays.
+    ``peers`` are the other relays. ``batch_interval`` is the minimum time between two batches of
+    endpoint changes, and ``load_batch_interval`` that between two batches of loads, which equals
+    the minimum report interval of agents. A link to another relay is closed if it delivers no
+    endpoints or heartbeat for ``idle_timeout``.
     """
 
     peers: tuple[Address, ...] = ()
-    lease: float = 6.0
-    batch: float = 0.05
-    load_batch: float = 0.1
-    heartbeat: float = 2.0
-    silent_after: float = 6.0
+    lease_duration: float = 6.0
+    batch_interval: float = 0.05
+    load_batch_interval: float = 0.1
+    heartbeat_interval: float = 2.0
+    idle_timeout: float = 6.0
     table: TableSettings = TableSettings()
     backoff: BackoffSettings = BackoffSettings()
 
@@ -77,16 +78,16 @@
         generator: random.Random,
     ) -> None:
         self.table = EndpointTable(settings.table)
-        self._leases = Leases(self.table, settings.lease)
+        self._leases = Leases(self.table, settings.lease_duration)
         self._feed = EndpointFeed(self.table)
-        self._sync = EndpointSyncServer(self.table, relay, incarnation, settings.heartbeat)
+        self._sync = EndpointSyncServer(self.table, relay, incarnation, settings.heartbeat_interval)
         self._settings = settings
         self._connections = connections
         self._generator = generator
         self._peers = [self._make_peer(address) for address in settings.peers]
         self._pending_changes: set[EndpointName] = set()
-        self._batch = BatchTimer(settings.batch)
-        self._loads = LoadBroadcaster(settings.load_batch)
+        self._batch = BatchTimer(settings.batch_interval)
+        self._loads = LoadBroadcaster(settings.load_batch_interval)
         self._announced_zones: frozenset[str] = frozenset()
         self._crashes = CrashBroadcaster()
         self.tallies = TallyStore()
@@ -118,7 +119,7 @@
             self._connections,
             self._settings.backoff,
             self._generator,
-            self._settings.silent_after,
+            self._settings.idle_timeout,
         )
 
     def stop(self) -> list[Output]:
--- a/src/limelever/relay/endpoint_feed.py
+++ b/src/limelever/relay/endpoint_feed.py
@@ -12,7 +12,7 @@
 
 
 class EndpointFeed:
-    """Sends each proxy the endpoints of its scope, then changes; builds one message a scope."""
+    """Sends each proxy the endpoints of its scope, then changes; builds one message per scope."""
 
     def __init__(self, table: EndpointTable) -> None:
         self._table = table
--- a/src/limelever/relay/endpoint_sync.py
+++ b/src/limelever/relay/endpoint_sync.py
@@ -30,7 +30,7 @@
     def handle_request(
         self, connection: ConnectionId, request: EndpointSyncRequest, now: float
     ) -> list[Output]:
-        """Send the changes that a relay missed, or all endpoints if they are no longer known."""
+        """Send the changes that a relay missed, or all local endpoints if these are unknown."""
         self._peers[connection] = None
         if self._next_heartbeat_at is None:
             self._next_heartbeat_at = now + self._heartbeat_interval
@@ -61,7 +61,7 @@
         return self._broadcast(local)
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Send a heartbeat when due, by which peers detect a broken link."""
+        """Send a heartbeat when due; peers close a link that delivers none."""
         if self._next_heartbeat_at is None or self._next_heartbeat_at > now:
             return []
         self._next_heartbeat_at = now + self._heartbeat_interval if self._peers else None
--- a/src/limelever/relay/endpoint_table.py
+++ b/src/limelever/relay/endpoint_table.py
@@ -50,7 +50,7 @@
         self._notice_by_instance: dict[str, MachineNotice] = {}
         self._expiry_queue = ExpiryQueue()
         self._last_local_change = 0
-        self._last_dropped_change = 0
+        self._last_removed_change = 0
 
     @property
     def last_local_change(self) -> int:
@@ -83,7 +83,7 @@
 
         Returns ``None`` if a tombstone of a later change was removed.
         """
-        if local_change < self._last_dropped_change:
+        if local_change < self._last_removed_change:
             return None
         entries = [
             self._entries[name] for name in sorted(self._names_by_origin.get(LOCAL_ORIGIN, ()))
@@ -121,7 +121,10 @@
         return changed
 
     def cancel_grace(self, origin: str, unlisted: Container[EndpointName]) -> None:
-        """Keep the endpoints of a reconnected relay, except ``unlisted``, without a time limit."""
+        """End the grace period of a reconnected relay's endpoints, except ``unlisted``.
+
+        Those were missing from its last full message, and it has not sent them since.
+        """
         for name in tuple(self._names_by_origin.get(origin, ())):
             entry = self._entries[name]
             if not entry.is_tombstone and name not in unlisted:
@@ -132,6 +135,7 @@
     ) -> set[EndpointName]:
         """Let the endpoints of another relay, except ``listed``, expire after the grace period.
 
+        ``listed`` are those in a full message of the relay; none if its link was lost.
         Returns the endpoints that will expire. Grace periods that run already are not extended.
         """
         expiring: set[EndpointName] = set()
@@ -246,7 +250,7 @@
             if not index[key]:
                 del index[key]
         if entry.origin == LOCAL_ORIGIN:
-            self._last_dropped_change = max(self._last_dropped_change, entry.local_change)
+            self._last_removed_change = max(self._last_removed_change, entry.local_change)
 
     def _expires_at(self, name: EndpointName) -> float | None:
         entry = self._entries.get(name)
--- a/src/limelever/relay/interface.py
+++ b/src/limelever/relay/interface.py
@@ -1,4 +1,4 @@
-"""Events and outputs between the relay's core and its shell, besides the common ones."""
+"""Events and outputs of the relay's core, in addition to those of ``common.sansio``."""
 
 from __future__ import annotations
 
--- a/src/limelever/relay/leases.py
+++ b/src/limelever/relay/leases.py
@@ -97,7 +97,7 @@
 
 
 def _refuse(connection: ConnectionId, endpoint: Endpoint) -> LeaseResult:
-    """Refuse an older incarnation, and close the link so that it does not retry at once."""
+    """Refuse an older incarnation, and close the link so that the agent does not retry at once."""
     fields: dict[str, object] = {"agent": endpoint.instance, "reason": OUTDATED_INCARNATION}
     lost = LeaseLost(incarnation=endpoint.incarnation, reason=OUTDATED_INCARNATION)
     return LeaseResult(
--- a/src/limelever/relay/limit_coordinator.py
+++ b/src/limelever/relay/limit_coordinator.py
@@ -2,8 +2,8 @@
 
 Proxies report admitted and refused calls to their relay, relays exchange sums of these, and each
 relay sends its proxies the fraction of calls to admit for tenants near their limit. All of it is
-soft state: counts expire with the window, and a relay that connects receives those of the window. A
-proxy that changes relays counts at both for a window, which overestimates its usage.
+soft state: counts expire with the window, and a relay that connects receives those of the window.
+The usage of a proxy that changes relays is counted at both for a window, which overestimates it.
 """
 
 from __future__ import annotations
@@ -188,7 +188,10 @@
     def _uncounted_calls(
         self, sender: str, report: TenantUse, now: float
     ) -> Iterable[ReportedCalls]:
-        """Yield the reported calls that are within the window and not counted yet."""
+        """Yield the reported calls that are within the window and not counted yet.
+
+        Also records the time of the report, and the fleet size that it holds.
+        """
         last_report_at = self._last_report_at.get(sender, 0.0)
         self._last_report_at[sender] = now
         if report.fleet:
@@ -217,6 +220,7 @@
                 report.tenants.append(tenant)
                 report.admitted.append(slot.admitted)
                 report.refused.append(slot.refused)
+                # Above 0, which marks calls since the last report: receivers always count those.
                 report.ages_ms.append(int(age * 1000) + 1)
         return report
 
--- a/src/limelever/relay/load_broadcast.py
+++ b/src/limelever/relay/load_broadcast.py
@@ -1,6 +1,6 @@
 """Broadcasts the loads of endpoints to the proxies of their zone.
 
-In a large fleet a proxy calls each endpoint too rarely to know its load from the answers. Agents
+In a large fleet a proxy calls each endpoint too rarely to know its load from responses. Agents
 therefore report loads to their relay, which sends them to proxies in one message per zone. Proxies
 of other zones send few calls there, and are left out to save traffic between zones.
 """
--- a/src/limelever/relay/peer_relay.py
+++ b/src/limelever/relay/peer_relay.py
@@ -34,8 +34,8 @@
 class PeerRelay:
     """Dials one relay and replicates its endpoints; times in seconds, monotonic.
 
-    The endpoints stay for the table's grace period when the link is lost. A link
-    without an ``EndpointSync`` message for ``idle_timeout`` counts as lost.
+    When the link is lost, the endpoints are kept for the table's grace period. A link that delivers
+    no ``EndpointSync`` message for ``idle_timeout`` is closed.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         return []
 
     def on_deadline(self, now: float) -> list[Output]:
-        """Dial when due, and close a link whose idle timeout is over."""
+        """Dial when due, and close a link whose idle timeout has expired."""
         if self._idle_deadline is not None and self._idle_deadline <= now:
             connection = self._connection
             outputs = self._on_disconnected(IDLE_TIMEOUT_REASON, now)
--- a/src/limelever/relay/pending_usage.py
+++ b/src/limelever/relay/pending_usage.py
@@ -14,11 +14,12 @@
 from limelever.protocol.limits_pb2 import TenantUse
 
 _UNREPORTED_FRACTION = 0.02
-"""Fraction of a limit's calls that all relays together may hold back: a fifth of the default
-``LimitRules.excess``."""
+"""Fraction of a limit's calls that all relays together may hold back. The part of
+``LimitRules.excess`` above the target covers them."""
 
 _UNREPORTED_SLACK_FRACTION = 0.25
-"""Fraction of the slack that they may hold back besides; it matters for small tenants."""
+"""Fraction of ``LimitRules.slack`` that they may hold back in addition, so that the calls of
+tenants with low limits are batched too."""
 
 MAX_REPORT_DELAY = 1.0
 """Seconds after which all calls are reported, however few."""
--- a/src/limelever/relay/process.py
+++ b/src/limelever/relay/process.py
@@ -87,10 +87,10 @@
     endpoints = settings.endpoints
     return EndpointExchangeSettings(
         peers=settings.peers,
-        lease=seconds(endpoints.lease_ms),
-        batch=seconds(endpoints.batch_ms),
-        heartbeat=seconds(endpoints.heartbeat_ms),
-        silent_after=seconds(endpoints.silent_after_ms),
+        lease_duration=seconds(endpoints.lease_ms),
+        batch_interval=seconds(endpoints.batch_ms),
+        heartbeat_interval=seconds(endpoints.heartbeat_ms),
+        idle_timeout=seconds(endpoints.silent_after_ms),
         backoff=BackoffSettings(maximum=seconds(endpoints.longest_pause_ms)),
         table=TableSettings(
             tombstone=seconds(endpoints.tombstone_ms),
--- a/src/limelever/relay/tally_store.py
+++ b/src/limelever/relay/tally_store.py
@@ -1,4 +1,4 @@
-"""Stores and replicates the call tallies of versions in a rollout, on which its analysis is based.
+"""Stores and replicates the call tallies on which the canary analysis of a rollout is based.
 
 Each agent reports its tally, whose counts only grow, to its relay, which forwards it to all other
 relays. Each relay thus holds the newest tally of every agent, up to ``MAX_TALLIES``.
@@ -14,11 +14,11 @@
 from limelever.rollout.tally import answer_count
 
 MAX_TALLIES = 4096
-"""Tallies stored, one for each back end; those added first are evicted first."""
+"""Tallies stored, one for each agent; those added first are evicted first."""
 
 
 class TallyStore:
-    """The newest tally of each back end."""
+    """The newest tally of each agent."""
 
     def __init__(self) -> None:
         self._tally_by_name: dict[EndpointName, VersionTally] = {}
