--- a/features/relay/configuration.feature
+++ b/features/relay/configuration.feature
@@ -16,7 +16,7 @@
     And 3 seconds pass at the relays
     Then the source counts the newest version in force at "zone-a: 1 of 1, zone-b: 1 of 1"
 
-  Scenario: A relay starts from its snapshot while all sources are down, and serves proxies with a disk
+  Scenario: A relay starts from its snapshot while all sources are down, and serves proxies that keep their disk
     When 4 seconds pass at the relays
     And the mesh's source is killed
     And the relay "relay-1" is killed
@@ -33,7 +33,7 @@
     And 4 seconds pass at the relays
     Then the relay "relay-1" holds the newest version
 
-  Scenario: A proxy without a disk waits until the source confirms that the version is current
+  Scenario: A proxy with an empty disk waits until the source confirms that the version is current
     When 4 seconds pass at the relays
     And the link between "relay-1" and "source" is cut silently
     And the proxy "proxy-1" restarts with an empty disk
@@ -73,7 +73,7 @@
     And each of them has left a relay 2 times
     And the source counts the newest version in force at "zone-a: 101 of 101, zone-b: 1 of 1"
 
-  Scenario: A preferred relay that stays down does not cost its proxies their links
+  Scenario: Proxies keep their links to the other relay while a preferred relay stays down
     Given 10 more proxies that prefer "relay-1" to "relay-2"
     When 4 seconds pass at the relays
     And the relay "relay-1" is killed
--- a/features/relay/loads.feature
+++ b/features/relay/loads.feature
@@ -13,7 +13,7 @@
     And the proxies "other-zone" have received the loads "" of "orders-1"
 
   Scenario: A load is sent to proxies of its zone at another relay
-    Given a proxy of the zone of "relay-1" at "relay-2"
+    Given a proxy "far" of the zone of "relay-1" at "relay-2"
     When 2 seconds pass at the relays
     And the agent "orders-1" reports a load of 3
     And 0.3 seconds pass at the relays
@@ -24,7 +24,7 @@
     And the agent "orders-1" reports a load of 3
     And 0.3 seconds pass at the relays
     Then "relay-2" has received no loads from "relay-1"
-    Given a proxy of the zone of "relay-1" at "relay-2"
+    Given a proxy "far" of the zone of "relay-1" at "relay-2"
     When 2 seconds pass at the relays
     And the agent "orders-1" reports a load of 4
     And 0.3 seconds pass at the relays
@@ -35,7 +35,7 @@
     And 0.3 seconds pass at the relays
     Then "relay-2" has received the loads "4" from "relay-1"
 
-  Scenario: Reports in quick succession are sent as one update with the newest load
+  Scenario: Reports in quick succession are sent as one update with the newest load, at most 255
     When the agent "orders-1" reports a load of 1
     And 0.05 seconds pass at the relays
     And the agent "orders-1" reports a load of 2
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -18,7 +18,7 @@
     return [int(each) for each in text.split(", ") if each]
 
 
-@given('a proxy of the zone of "{zone_of}" at "{relay}"')
+@given('a proxy "far" of the zone of "{zone_of}" at "{relay}"')
 def given_proxy_of_zone(context: Context, zone_of: str, relay: str) -> None:
     start_proxy(context, "far", relay, zone=ZONES[zone_of])
 
--- a/features/steps/relay_region_steps.py
+++ b/features/steps/relay_region_steps.py
@@ -21,8 +21,8 @@
     network = context.mesh.network
     end = network.now + duration
     while network.now < end:
-        for one in context.agents.values():
-            one.renew(context.agent_states[one.name])
+        for agent in context.agents.values():
+            agent.renew(context.agent_states[agent.name])
         network.run(min(RENEWAL_INTERVAL, end - network.now))
         record_unlinked_proxies(context)
 
@@ -57,8 +57,8 @@
     context.regions = {region: zones_of(zones)}
     context.agents, context.agent_states, context.unlinked_counts = {}, {}, {}
     context.mesh.add_source("source")
-    put = [build("service/orders"), resource("secret/till", value=b"hidden")]
-    context.mesh.apply([*put, build("route/place", "orders", "till")])
+    resources = [build("service/orders"), resource("secret/till", value=b"hidden")]
+    context.mesh.apply([*resources, build("route/place", "orders", "till")])
 
 
 @given('a region "{region}" of the zones "{zones}"')
@@ -86,10 +86,10 @@
 @given("a region agent in each zone")
 def step_region_agents(context):
     for zone in context.proxies:
-        one = Agent(context.mesh, f"agent-{zone}", 1)
-        one.register(f"relay-{zone}", zone, 1)
-        context.agents[one.name] = one
-        context.agent_states[one.name] = "ready"
+        agent = Agent(context.mesh, f"agent-{zone}", 1)
+        agent.register(f"relay-{zone}", zone, 1)
+        context.agents[agent.name] = agent
+        context.agent_states[agent.name] = "ready"
 
 
 # --- actions -------------------------------------------------------------------------------
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -191,12 +191,13 @@
 
 
 @when('the relay "{name}" restarts and admits no subscribers')
-def step_restart_full_relay(context, name):
+def step_restart_without_admission(context, name):
     start_relay(context, name, admission_burst=0.0)
 
 
 @when('the relay "{name}" accepts links but sends nothing')
 def step_silent_relay(context, name):
+    # A killed node accepts links again, but has no core that could answer.
     context.mesh.network.dark.discard(name)
 
 
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -29,7 +29,7 @@
 from limelever.subscriber.zone_preference import ListedPublisher, preferred
 
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=200)
-MANY_ZONES, FEW_RELAYS = 400, 5
+ZONE_COUNT, RELAY_COUNT = 400, 5
 RETURN_BACKOFF = BackoffSettings(base=1.0, maximum=4.0)
 
 
@@ -128,10 +128,10 @@
 def preferred_evenly(context: Context) -> None:
     listed = tuple(
         ListedPublisher(Address(f"10.0.{number}.7", 7241), "elsewhere")
-        for number in range(FEW_RELAYS)
+        for number in range(RELAY_COUNT)
     )
-    counts = Counter(preferred(listed, f"zone-{number}") for number in range(MANY_ZONES))
-    assert max(counts.values()) <= 2 * MANY_ZONES / FEW_RELAYS, counts
+    counts = Counter(preferred(listed, f"zone-{number}") for number in range(ZONE_COUNT))
+    assert max(counts.values()) <= 2 * ZONE_COUNT / RELAY_COUNT, counts
 
 
 @given(
