--- a/features/relay/zones.feature
+++ b/features/relay/zones.feature
@@ -25,7 +25,7 @@
     When 20 seconds pass at the relays
     Then the proxy "away" follows "relay-2"
 
-  Scenario Outline: A relay whose link is cut silently is left within <limit> seconds
+  Scenario Outline: A relay that leaves probes unanswered is left within <limit> seconds, before it counts as stale
     Given a proxy "hasty" of zone "zone-a" that first dials "relay-1" and considers it stale after 5 seconds
     When 3 seconds pass at the relays
     And the link between the proxy "hasty" and "relay-1" is cut silently
