--- a/features/steps/rollout_order_steps.py
+++ b/features/steps/rollout_order_steps.py
@@ -8,8 +8,8 @@
 from behave import given, then, when
 
 from limelever.common.errors import Failure
-from limelever.control import rollouts as orders
-from limelever.control.rollouts import RolloutDesk, completed, rolled_back
+from limelever.control import rollout_store
+from limelever.control.rollout_store import RolloutDesk, completed, rolled_back
 from limelever.protocol.config_pb2 import (
     ROLLOUT_STATE_RUNNING,
     Batch,
@@ -80,7 +80,7 @@
 def order(context, target, seconds, service=SERVICE, after_ms=0):
     context.ordered = (target, seconds)
     context.committed = context.desk.index
-    with mock.patch.object(orders, "unix_ms", lambda: ORDERED_AT_MS + after_ms):
+    with mock.patch.object(rollout_store, "unix_ms", lambda: ORDERED_AT_MS + after_ms):
         context.result = trio.run(context.rollouts.order, service, target, seconds * 1000)
 
 
--- a/src/limelever/control/process.py
+++ b/src/limelever/control/process.py
@@ -15,7 +15,7 @@
 from limelever.common.sansio import Role
 from limelever.common.settings import is_address, parse_address
 from limelever.control.rollout_driver import RolloutDriver
-from limelever.control.rollouts import RolloutDesk
+from limelever.control.rollout_store import RolloutDesk
 from limelever.control.settings import ControlSettings, relay_settings, source_settings
 from limelever.protocol.endpoints_pb2 import Endpoint
 from limelever.relay import process as relay_process
--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -12,7 +12,7 @@
 
 from limelever.common.errors import ErrorKind, Failure
 from limelever.control import events
-from limelever.control.rollouts import RolloutDesk, completed, rolled_back, unix_ms
+from limelever.control.rollout_store import RolloutDesk, completed, rolled_back, unix_ms
 from limelever.protocol.config_pb2 import ROLLOUT_STATE_RUNNING, Rollout
 from limelever.protocol.endpoints_pb2 import ENDPOINT_STATE_READY
 from limelever.relay.core import RelayCore
--- a/src/limelever/node/process.py
+++ b/src/limelever/node/process.py
@@ -13,7 +13,7 @@
 from limelever.agent.events import REPORT_REFUSED
 from limelever.common.errors import Failure
 from limelever.common.settings import seconds
-from limelever.node.agents import InstanceAgents
+from limelever.node.agent_supervisor import InstanceAgents
 from limelever.node.reports import InstanceReport
 from limelever.node.settings import NodeSettings, proxy_settings
 from limelever.proxy import process as proxy_process
