--- a/features/steps/rollout_order_steps.py
+++ b/features/steps/rollout_order_steps.py
@@ -9,7 +9,7 @@
 
 from limelever.common.errors import Failure
 from limelever.control import rollout_store
-from limelever.control.rollout_store import RolloutDesk, completed, rolled_back
+from limelever.control.rollout_store import RolloutStore, completed, rolled_back
 from limelever.protocol.config_pb2 import (
     ROLLOUT_STATE_RUNNING,
     Batch,
@@ -74,18 +74,18 @@
 def given_control(context, version):
     context.desk = StateDesk()
     ready = Endpoint(service=SERVICE, version=version, state=ENDPOINT_STATE_READY)
-    context.rollouts = RolloutDesk(context.desk, Unchecked(), lambda service: [ready])
+    context.rollouts = RolloutStore(context.desk, Unchecked(), lambda service: [ready])
 
 
 def order(context, target, seconds, service=SERVICE, after_ms=0):
     context.ordered = (target, seconds)
     context.committed = context.desk.index
     with mock.patch.object(rollout_store, "unix_ms", lambda: ORDERED_AT_MS + after_ms):
-        context.result = trio.run(context.rollouts.order, service, target, seconds * 1000)
+        context.result = trio.run(context.rollouts.start, service, target, seconds * 1000)
 
 
 def end(context, ended):
-    trio.run(context.rollouts.change, SERVICE, lambda held: ended(held, "over"))
+    trio.run(context.rollouts.update, SERVICE, lambda held: ended(held, "over"))
 
 
 @when(
--- a/src/limelever/control/__init__.py
+++ b/src/limelever/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: a source replica and a relay together, for small sites."""
+"""The control process: a source replica and a relay in one process, for small deployments."""
--- a/src/limelever/control/events.py
+++ b/src/limelever/control/events.py
@@ -8,7 +8,7 @@
     2600,
     "rollout-moved",
     Level.INFO,
-    "a rollout of a service's version took a step or ended",
+    "a rollout advanced or ended",
     "service",
     "target",
     "permille",
@@ -19,7 +19,7 @@
     2601,
     "rollout-step-failed",
     Level.WARNING,
-    "a step of a rollout could not be put and is tried again",
+    "a rollout step could not be written and will be retried",
     "service",
     "reason",
 )
--- a/src/limelever/control/process.py
+++ b/src/limelever/control/process.py
@@ -1,7 +1,7 @@
-"""The control process: a source replica and a relay in one, for small sites.
+"""The control process: a source replica and a relay in one process, for small deployments.
 
-The relay follows the replica beside it, and learns of the other relays from the members of the
-replica's group: each of these has a relay beside it at the same port.
+The relay subscribes to the local replica. It derives the addresses of the other relays from the
+members of the replication group, as each control process runs a relay on the same port.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from limelever.common.sansio import Role
 from limelever.common.settings import is_address, parse_address
 from limelever.control.rollout_driver import RolloutDriver
-from limelever.control.rollout_store import RolloutDesk
+from limelever.control.rollout_store import RolloutStore
 from limelever.control.settings import ControlSettings, relay_settings, source_settings
 from limelever.protocol.endpoints_pb2 import Endpoint
 from limelever.relay import process as relay_process
@@ -34,29 +34,31 @@
 _NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
-class ControlDoor:
-    """What further interfaces of a control process use: checks of requests, and their answers.
+class ControlInterface:
+    """What gateways of a control process use to check requests and have them answered.
 
-    ``relay`` is the core of the relay beside the replica, once it has started.
+    ``relay`` is the core of the local relay, or ``None`` until it has started.
     """
 
     def __init__(self, settings: ControlSettings) -> None:
-        self.desk = OperatorDesk()
-        self.checks = RequestChecks(sealer_of(source_settings(settings)))
+        self.operator_requests = OperatorDesk()
+        self.request_checks = RequestChecks(sealer_of(source_settings(settings)))
         self.relay: RelayCore | None = None
-        self.rollouts = RolloutDesk(self.desk, self.checks, self._endpoints_of)
+        self.rollouts = RolloutStore(
+            self.operator_requests, self.request_checks, self._service_endpoints
+        )
 
-    def _endpoints_of(self, service: str) -> list[Endpoint]:
+    def _service_endpoints(self, service: str) -> list[Endpoint]:
         return self.relay.endpoints.table.of_service(service) if self.relay is not None else []
 
 
 PERCENT = 100.0
-Gateways = Callable[[ControlDoor], Sequence[Gateway]]
+GatewayFactory = Callable[[ControlInterface], Sequence[Gateway]]
 
 
 def run(
     settings: ControlSettings,
-    gateways: Gateways = lambda _: (),
+    gateways: GatewayFactory = lambda _: (),
     *,
     source: SettingsFile | None = None,
 ) -> int:
@@ -66,45 +68,48 @@
     return run_role(settings, main, incarnation=incarnation, source=source)
 
 
-class _Neighbours:
-    """Tells the relay of the other relays, whichever of relay and news comes first."""
+class _RelayDiscovery:
+    """Passes the addresses of the other relays to the local relay.
+
+    The relay may start before or after the group's members are known.
+    """
 
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
-        self._names: frozenset[str] = frozenset()
+        self._replicas: frozenset[str] = frozenset()
         self._relay: CoreRunner | None = None
 
     def relay_started(self, runner: CoreRunner) -> None:
-        """Take the runner of the relay's core."""
+        """Set the runner of the local relay's core."""
         self._relay = runner
-        self._tell()
+        self._notify_relay()
 
-    def members_known(self, names: frozenset[str]) -> None:
-        """Take the names of the replicas, which are their addresses."""
-        self._names = names
-        self._tell()
+    def replicas_known(self, replicas: frozenset[str]) -> None:
+        """Set the members of the replication group; a replica's name is its address."""
+        self._replicas = replicas
+        self._notify_relay()
 
-    def _tell(self) -> None:
-        replicas = [parse_address(name) for name in sorted(self._names) if is_address(name)]
+    def _notify_relay(self) -> None:
+        replicas = [parse_address(name) for name in sorted(self._replicas) if is_address(name)]
         if self._relay is not None and replicas:
-            relays = tuple(self._settings.relay_at(replica) for replica in replicas)
+            relays = tuple(self._settings.relay_address(replica) for replica in replicas)
             self._relay.post(RelaysKnown(relays))
 
 
-async def _main(settings: ControlSettings, gateways: Gateways, shell: ProcessShell) -> None:
-    door = ControlDoor(settings)
-    neighbours = _Neighbours(settings)
+async def _main(settings: ControlSettings, gateways: GatewayFactory, shell: ProcessShell) -> None:
+    interface = ControlInterface(settings)
+    relay_discovery = _RelayDiscovery(settings)
     listener = shell.new_listener(Role.RELAY)
-    limits = ExposureLimit(fraction=settings.rollout.exposed_percent / PERCENT)
-    driver = RolloutDriver(door.rollouts, lambda: door.relay, limits)
-    done = trio.Event()
+    exposure_limit = ExposureLimit(fraction=settings.rollout.exposed_percent / PERCENT)
+    driver = RolloutDriver(interface.rollouts, lambda: interface.relay, exposure_limit)
+    stopped = trio.Event()
 
     def relay_started(runner: CoreRunner, core: RelayCore) -> None:
-        door.relay = core
-        neighbours.relay_started(runner)
+        interface.relay = core
+        relay_discovery.relay_started(runner)
 
-    async with trio.open_nursery() as serving:
-        failure = await start_gateways(gateways(door), done, serving)
+    async with trio.open_nursery() as gateway_nursery:
+        failure = await start_gateways(gateways(interface), stopped, gateway_nursery)
         if failure is not None:
             raise ProcessFailedError(failure)
         async with trio.open_nursery() as nursery:
@@ -120,7 +125,7 @@
                 source_process.serve,
                 source_settings(settings),
                 shell,
-                door.desk,
-                neighbours.members_known,
+                interface.operator_requests,
+                relay_discovery.replicas_known,
             )
-        done.set()
+        stopped.set()
--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -1,6 +1,6 @@
-"""Drives the rollouts that run: looks at their evidence, and puts their steps and their end.
+"""Advances running rollouts: analyzes the tallies of calls, then writes the next step or the end.
 
-Every control process looks, as each holds all evidence; only the leader's changes are taken.
+Every control process does so, as each has all tallies; only the leader's writes are accepted.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from limelever.common.errors import ErrorKind, Failure
 from limelever.control import events
-from limelever.control.rollout_store import RolloutDesk, completed, rolled_back, unix_ms
+from limelever.control.rollout_store import RolloutStore, completed, rolled_back, unix_ms
 from limelever.protocol.config_pb2 import ROLLOUT_STATE_RUNNING, Rollout
 from limelever.protocol.endpoints_pb2 import ENDPOINT_STATE_READY
 from limelever.relay.core import RelayCore
@@ -29,84 +29,93 @@
 from limelever.rollout.tally import merge_tallies
 from limelever.transport.log import write_event
 
-LOOK_SECONDS = 0.1
-"""Between two looks at the rollouts that run; a bad version is stopped this much later."""
+POLL_INTERVAL_SECONDS = 0.1
+"""Interval between evaluations of running rollouts; delays the rollback of a bad version."""
 
-CHANGE_SECONDS = 1.0
-"""Time for a step to be committed before it is tried again, on top of what is known then."""
+WRITE_TIMEOUT_SECONDS = 1.0
+"""Time allowed for a write to commit; after it the rollout is evaluated again."""
 
 _MILLISECONDS = 1000.0
-_NOT_LEADING = frozenset({ErrorKind.NOT_LEADER, ErrorKind.NO_QUORUM, ErrorKind.DRAINING})
+_NOT_LEADER_KINDS = frozenset({ErrorKind.NOT_LEADER, ErrorKind.NO_QUORUM, ErrorKind.DRAINING})
 
 
-class _Clock(Struct):
-    """When a rollout was first seen, and how long it had run: the time of day may jump later."""
+class _RolloutClock(Struct):
+    """Measures how long a rollout has run on the monotonic clock, as the wall clock may be set.
+
+    ``elapsed_at_start`` is the time that had passed at ``started_at``, when the rollout was first
+    observed here.
+    """
 
     ordered_at_ms: int
-    seen_at: float
-    elapsed: float
+    started_at: float
+    elapsed_at_start: float
 
 
 class RolloutDriver:
-    """Carries out what ``progression`` decides; times in seconds."""
+    """Applies the decisions of ``limelever.rollout.progression`` to running rollouts."""
 
     def __init__(
-        self, rollouts: RolloutDesk, relay: Callable[[], RelayCore | None], limits: ExposureLimit
+        self,
+        rollouts: RolloutStore,
+        relay: Callable[[], RelayCore | None],
+        exposure_limit: ExposureLimit,
     ) -> None:
         self._rollouts = rollouts
         self._relay = relay
-        self._limits = limits
-        self._clocks: dict[str, _Clock] = {}
+        self._exposure_limit = exposure_limit
+        self._clocks: dict[str, _RolloutClock] = {}
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Evaluate the running rollouts until cancelled."""
         while True:
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
             relay = self._relay()
             for rollout in tuple(relay.rollouts.values()) if relay is not None else ():
                 if rollout.state == ROLLOUT_STATE_RUNNING:
                     assert relay is not None
-                    await self._look(relay, rollout)
+                    await self._evaluate(relay, rollout)
 
-    async def _look(self, relay: RelayCore, rollout: Rollout) -> None:
+    async def _evaluate(self, relay: RelayCore, rollout: Rollout) -> None:
         tallies = relay.endpoints.tallies.for_rollout(rollout.service, rollout.ordered_at_ms)
-        ours = merge_tallies(tally for tally in tallies if tally.version == rollout.target)
-        theirs = merge_tallies(tally for tally in tallies if tally.version != rollout.target)
-        verdict = analyze(ours, theirs)
-        running = self._running(relay, rollout)
-        decision = decide(running, verdict, self._limits)
+        target_tally = merge_tallies(tally for tally in tallies if tally.version == rollout.target)
+        other_tally = merge_tallies(tally for tally in tallies if tally.version != rollout.target)
+        verdict = analyze(target_tally, other_tally)
+        progress = self._progress(relay, rollout)
+        decision = decide(progress, verdict, self._exposure_limit)
         if isinstance(decision, Wait):
             return
-        with trio.move_on_after(CHANGE_SECONDS):
-            await self._put(rollout, decision, verdict)
-
-    async def _put(self, rollout: Rollout, decision: Decision, verdict: Verdict) -> None:
-        def changed(held: Rollout | None) -> Rollout | Failure | None:
-            if held is None:
-                return Failure(ErrorKind.NOT_FOUND, "the rollout went with its service")
-            over = held.state != ROLLOUT_STATE_RUNNING
-            if over or held.ordered_at_ms != rollout.ordered_at_ms:
+        with trio.move_on_after(WRITE_TIMEOUT_SECONDS):
+            await self._write(rollout, decision, verdict)
+
+    async def _write(self, rollout: Rollout, decision: Decision, verdict: Verdict) -> None:
+        def updated(current: Rollout | None) -> Rollout | Failure | None:
+            if current is None:
+                return Failure(ErrorKind.NOT_FOUND, "the rollout was deleted with its service")
+            ended = current.state != ROLLOUT_STATE_RUNNING
+            if ended or current.ordered_at_ms != rollout.ordered_at_ms:
                 return None
-            return _after(held, decision)
+            return _with_decision(current, decision)
 
-        result = await self._rollouts.change(rollout.service, changed)
+        result = await self._rollouts.update(rollout.service, updated)
         if isinstance(result, Failure):
-            if result.kind not in _NOT_LEADING:
-                fields: dict[str, object] = {"service": rollout.service, "reason": str(result)}
-                write_event(events.ROLLOUT_STEP_FAILED, fields)
+            if result.kind not in _NOT_LEADER_KINDS:
+                failed: dict[str, object] = {"service": rollout.service, "reason": str(result)}
+                write_event(events.ROLLOUT_STEP_FAILED, failed)
             return
-        told: dict[str, object] = {
+        fields: dict[str, object] = {
             "service": rollout.service,
             "target": rollout.target,
             "permille": result.permille,
             "state": int(result.state),
             "reason": verdict.reason,
         }
-        write_event(events.ROLLOUT_MOVED, told)
+        write_event(events.ROLLOUT_MOVED, fields)
 
-    def _running(self, relay: RelayCore, rollout: Rollout) -> RolloutProgress:
+    def _progress(self, relay: RelayCore, rollout: Rollout) -> RolloutProgress:
         endpoints = relay.endpoints.table.of_service(rollout.service)
-        ready = [each.version for each in endpoints if each.state == ENDPOINT_STATE_READY]
+        ready = [
+            endpoint.version for endpoint in endpoints if endpoint.state == ENDPOINT_STATE_READY
+        ]
         target_ready = ready.count(rollout.target)
         return RolloutProgress(
             permille=rollout.permille,
@@ -121,21 +130,21 @@
         clock = self._clocks.get(rollout.service)
         if clock is None or clock.ordered_at_ms != rollout.ordered_at_ms:
             elapsed = max(0.0, (unix_ms() - rollout.ordered_at_ms) / _MILLISECONDS)
-            clock = _Clock(rollout.ordered_at_ms, now, elapsed)
+            clock = _RolloutClock(rollout.ordered_at_ms, now, elapsed)
             self._clocks[rollout.service] = clock
-        return clock.elapsed + now - clock.seen_at
+        return clock.elapsed_at_start + now - clock.started_at
 
 
-def _after(held: Rollout, decision: Decision) -> Rollout:
-    """Return a rollout after a step or its end."""
+def _with_decision(current: Rollout, decision: Decision) -> Rollout:
+    """Return the rollout with a decision applied."""
     match decision:
         case Advance(permille):
-            moved = Rollout()
-            moved.CopyFrom(held)
-            moved.permille = max(held.permille, permille)
-            return moved
+            advanced = Rollout()
+            advanced.CopyFrom(current)
+            advanced.permille = max(current.permille, permille)
+            return advanced
         case Finish(True, reason):
-            return completed(held, reason)
+            return completed(current, reason)
         case Finish(False, reason):
-            return rolled_back(held, reason)
-    return held
+            return rolled_back(current, reason)
+    return current
--- a/src/limelever/control/rollout_store.py
+++ b/src/limelever/control/rollout_store.py
@@ -1,7 +1,7 @@
-"""Orders of rollouts at a control process: taken, read and ended through the replicated state.
+"""Starts, reads and updates rollouts in the replicated configuration.
 
-A service has one rollout, its newest. It is a resource like any other, so an order, its steps and
-its end are committed, survive what the configuration survives, and reach the proxies by its way.
+A service has at most one rollout, the newest. It is a resource of the configuration, so each change
+of it is replicated, persisted and distributed to the proxies like any other.
 """
 
 from __future__ import annotations
@@ -30,113 +30,122 @@
 from limelever.source.operator_door import RequestChecks
 from limelever.source.request_records import make_request_id
 
-CHANGE_TRIES = 20
-"""Tries of a change on top of the version read: a storm of configurations moves it meanwhile."""
+UPDATE_ATTEMPTS = 20
+"""Attempts at an optimistic update, as concurrent configuration changes cause conflicts."""
 
-RESENT_WITHIN_MS = 5000
-"""Time after an order in which the same order is one that was sent again, also where the rollout is
-over; later it is ordered anew. Operators send again for 4 s at most."""
+RETRY_WINDOW_MS = 5000
+"""Within this time after an order an identical one counts as its retry, even if the rollout has
+been rolled back; later it is a new order. Operators retry for up to 4 s."""
 
-_ID_BYTES = 8
+_REQUEST_ID_BYTES = 8
 _NANOSECONDS_PER_MILLISECOND = 1_000_000
 
-EndpointsOf = Callable[[str], list[Endpoint]]
+EndpointLookup = Callable[[str], list[Endpoint]]
 
 
-class RolloutDesk:
-    """Takes orders of rollouts; ``endpoints_of`` names a service's back ends as they are known."""
+class RolloutStore:
+    """Holds the rollouts of services; ``endpoints_of`` returns a service's known back ends."""
 
     def __init__(
-        self, desk: OperatorDesk, checks: RequestChecks, endpoints_of: EndpointsOf
+        self,
+        operator_requests: OperatorDesk,
+        request_checks: RequestChecks,
+        endpoints_of: EndpointLookup,
     ) -> None:
-        self._desk = desk
-        self._checks = checks
+        self._operator_requests = operator_requests
+        self._request_checks = request_checks
         self._endpoints_of = endpoints_of
 
-    async def order(self, service: str, target: str, duration_ms: int) -> Rollout | Failure:
-        """Begin to move a service's calls to a version; the same order again is answered alike."""
+    async def start(self, service: str, target: str, duration_ms: int) -> Rollout | Failure:
+        """Start to shift a service's calls to a version; idempotent for a repeated order."""
 
-        def begun(held: Rollout | None) -> Rollout | Failure | None:
-            if held is not None and _is_same_order(held, target, duration_ms):
+        def started(current: Rollout | None) -> Rollout | Failure | None:
+            if current is not None and _is_same_order(current, target, duration_ms):
                 return None
-            if held is not None and held.state == ROLLOUT_STATE_RUNNING:
-                reason = f"a rollout of {service} to {held.target} is under way"
+            if current is not None and current.state == ROLLOUT_STATE_RUNNING:
+                reason = f"a rollout of {service} to {current.target} is already running"
                 return Failure(ErrorKind.CONFLICT, reason)
             return Rollout(
                 service=service,
                 target=target,
-                baseline=self._baseline(service, target, held),
+                baseline=self._baseline(service, target, current),
                 state=ROLLOUT_STATE_RUNNING,
                 ordered_at_ms=unix_ms(),
                 duration_ms=duration_ms,
             )
 
-        return await self.change(service, begun)
+        return await self.update(service, started)
 
-    async def read(self, service: str) -> Rollout | Failure:
+    async def get(self, service: str) -> Rollout | Failure:
         """Return a service's newest rollout."""
-        response = await self._desk.ask(GetRequest(keys=[rollout_key(service).to_message()]))
+        response = await self._operator_requests.ask(
+            GetRequest(keys=[rollout_key(service).to_message()])
+        )
         if isinstance(response, Failure):
             return response
-        held = _rollout_in(response)
-        if held is None:
-            return Failure(ErrorKind.NOT_FOUND, f"no rollout of {service} was ordered")
-        return held
+        current = _rollout_in(response)
+        if current is None:
+            return Failure(ErrorKind.NOT_FOUND, f"service {service} has no rollout")
+        return current
 
-    async def change(
-        self, service: str, changed: Callable[[Rollout | None], Rollout | Failure | None]
+    async def update(
+        self, service: str, updated: Callable[[Rollout | None], Rollout | Failure | None]
     ) -> Rollout | Failure:
-        """Put what ``changed`` makes of the rollout held; ``None`` says that it is as wanted."""
+        """Write what ``updated`` returns for the current rollout; ``None`` leaves it unchanged."""
         keys = [service_key(service).to_message(), rollout_key(service).to_message()]
-        for _ in range(CHANGE_TRIES):
-            response = await self._desk.ask(GetRequest(keys=keys))
+        for _ in range(UPDATE_ATTEMPTS):
+            response = await self._operator_requests.ask(GetRequest(keys=keys))
             if isinstance(response, Failure):
                 return response
             if not isinstance(response, GetResponse) or keys[0] in response.missing:
-                return Failure(ErrorKind.NOT_FOUND, f"service {service} is not known")
-            held = _rollout_in(response)
-            wanted = changed(held)
-            if wanted is None:
-                assert held is not None
-                return held
-            if isinstance(wanted, Failure):
-                return wanted
-            answer = await self._put(wanted, response.version)
+                return Failure(ErrorKind.NOT_FOUND, f"service {service} does not exist")
+            current = _rollout_in(response)
+            desired = updated(current)
+            if desired is None:
+                assert current is not None
+                return current
+            if isinstance(desired, Failure):
+                return desired
+            answer = await self._write(desired, response.version)
             if not isinstance(answer, Failure):
-                return wanted
+                return desired
             if answer.kind is not ErrorKind.CONFLICT:
                 return answer
-        return Failure(ErrorKind.OVERLOADED, "the configuration changed at each try")
+        return Failure(
+            ErrorKind.OVERLOADED, "concurrent configuration changes conflicted with each attempt"
+        )
 
-    async def _put(self, rollout: Rollout, version: int) -> Message | Failure:
+    async def _write(self, rollout: Rollout, version: int) -> Message | Failure:
         batch = Batch(
-            request_id=make_request_id(secrets.token_hex(_ID_BYTES), version),
+            request_id=make_request_id(secrets.token_hex(_REQUEST_ID_BYTES), version),
             expected_version=version,
             put=[Resource(rollout=rollout)],
         )
-        request = self._checks.checked(ApplyRequest(batch=batch))
+        request = self._request_checks.checked(ApplyRequest(batch=batch))
         if isinstance(request, Refusal):
             return request.failure
-        return await self._desk.ask(request)
+        return await self._operator_requests.ask(request)
 
-    def _baseline(self, service: str, target: str, held: Rollout | None) -> str:
-        """Return the version in force: the last rollout's result, or what most back ends are of."""
-        if held is not None:
-            version = held.target if held.state == ROLLOUT_STATE_COMPLETED else held.baseline
-            if version and version != target:
-                return version
-        ready = [e for e in self._endpoints_of(service) if e.state == ENDPOINT_STATE_READY]
-        versions = Counter(e.version for e in ready if e.version not in ("", target))
-        return max(versions, key=lambda each: (versions[each], each), default="")
+    def _baseline(self, service: str, target: str, current: Rollout | None) -> str:
+        """Return the version in use: the last rollout's result, or that of most ready back ends."""
+        if current is not None:
+            in_use = (
+                current.target if current.state == ROLLOUT_STATE_COMPLETED else current.baseline
+            )
+            if in_use and in_use != target:
+                return in_use
+        ready = [each for each in self._endpoints_of(service) if each.state == ENDPOINT_STATE_READY]
+        versions = Counter(each.version for each in ready if each.version not in ("", target))
+        return max(versions, key=lambda version: (versions[version], version), default="")
 
 
 def rolled_back(rollout: Rollout, reason: str) -> Rollout:
-    """Return a rollout whose target gets no call any more."""
+    """Return a copy that is rolled back: the target receives no more calls."""
     return _ended(rollout, ROLLOUT_STATE_ROLLED_BACK, reason)
 
 
 def completed(rollout: Rollout, reason: str) -> Rollout:
-    """Return a rollout whose target alone gets calls."""
+    """Return a copy that is completed: only the target receives calls."""
     return _ended(rollout, ROLLOUT_STATE_COMPLETED, reason)
 
 
@@ -149,20 +158,20 @@
 
 
 def unix_ms() -> int:
-    """Return the time of day in Unix milliseconds: it outlives a change of the leader."""
+    """Return the wall clock time in Unix milliseconds, which stays valid after a leader change."""
     return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
-def _is_same_order(held: Rollout, target: str, duration_ms: int) -> bool:
-    if (held.target, held.duration_ms) != (target, duration_ms):
+def _is_same_order(current: Rollout, target: str, duration_ms: int) -> bool:
+    if (current.target, current.duration_ms) != (target, duration_ms):
         return False
-    recent = unix_ms() - held.ordered_at_ms < RESENT_WITHIN_MS
-    return recent or held.state != ROLLOUT_STATE_ROLLED_BACK
+    is_retry = unix_ms() - current.ordered_at_ms < RETRY_WINDOW_MS
+    return is_retry or current.state != ROLLOUT_STATE_ROLLED_BACK
 
 
 def _rollout_in(response: Message) -> Rollout | None:
     assert isinstance(response, GetResponse)
-    for held in response.resources:
-        if held.resource.HasField("rollout"):
-            return held.resource.rollout
+    for versioned in response.resources:
+        if versioned.resource.HasField("rollout"):
+            return versioned.resource.rollout
     return None
--- a/src/limelever/control/settings.py
+++ b/src/limelever/control/settings.py
@@ -1,8 +1,7 @@
 """Settings of the control process, which hosts a source replica and a relay.
 
-The addresses of other control processes are not listed. They are found through ``seeds``, and all
-use the same ports: that of ``listen`` for links between replicas, that of ``relay_listen`` for
-links to relays.
+Other control processes are discovered through ``seeds``. All use the same ports: that of ``listen``
+for links between replicas, that of ``relay_listen`` for links to relays.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutSettings:
-    """Rollouts of versions: the part of a service's calls that a bad one may get in its time."""
+    """Rollouts: the largest percentage of a service's calls that a bad version may receive."""
 
     exposed_percent: int = attrs.field(default=10, validator=between(1, 100))
 
@@ -48,8 +47,8 @@
 class ControlSettings(ProcessSettings):
     """Settings of one control process.
 
-    Without ``operators`` nobody is let in at ``operator_listen``; without ``secrets.keys`` batches
-    that hold secrets are refused.
+    Without ``operators`` all requests to ``operator_listen`` are refused; without ``secrets.keys``
+    batches that contain secrets are refused.
     """
 
     ROLE: ClassVar[Role] = Role.CONTROL
@@ -80,13 +79,13 @@
     rollout: RolloutSettings = RolloutSettings()
     limits: TenantLimitSettings = TenantLimitSettings()
 
-    def relay_at(self, replica: Address) -> Address:
-        """Return where the relay beside a replica is reached."""
+    def relay_address(self, replica: Address) -> Address:
+        """Return the address of the relay that runs in the same process as a replica."""
         return Address(replica.host, self.relay_listen.port)
 
 
 def source_settings(settings: ControlSettings) -> SourceSettings:
-    """Return the settings of the source replica within the process."""
+    """Return the settings of the source replica in this process."""
     return SourceSettings(
         role=Role.SOURCE,
         name=settings.name,
@@ -108,7 +107,7 @@
 
 
 def relay_settings(settings: ControlSettings) -> RelaySettings:
-    """Return the settings of the relay within the process; it follows the replica beside it."""
+    """Return the settings of the relay in this process; it subscribes to the local replica."""
     return RelaySettings(
         role=Role.RELAY,
         name=settings.name,
