--- a/features/steps/heartbeat_steps.py
+++ b/features/steps/heartbeat_steps.py
@@ -11,7 +11,7 @@
 
 from limelever.common.errors import Failure
 from limelever.common.sansio import Address
-from limelever.node.reports import BIRTH_UNKNOWN
+from limelever.node.reports import START_TIME_UNKNOWN
 from limelever.node.settings import agent_settings
 
 # isort: split
@@ -122,7 +122,7 @@
         if born is not None:
             value["born"] = born
         report = parse_report("i-1", json.dumps(value).encode())
-        assert report.born == (born or BIRTH_UNKNOWN)
+        assert report.started_at_ms == (born or START_TIME_UNKNOWN)
         assert report.address == Address("10.0.0.1", 80)
         assert (report.instance, report.service, report.slots) == ("i-1", "alpha", 6)
         assert report.draining is (state == "draining")
--- a/features/steps/node_report_steps.py
+++ b/features/steps/node_report_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the reports of the instance beside a node."""
+"""Steps for the tracking of the instance beside a node by its reports."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     Started,
 )
 from limelever.node.reports import (
-    BIRTH_UNKNOWN,
+    START_TIME_UNKNOWN,
     InstanceReport,
-    InstanceWatch,
+    InstanceTracker,
     ReportOutcome,
 )
 from limelever.protocol.calls_pb2 import CallFailed, CallStart
@@ -37,179 +37,181 @@
 from limelever.subscriber.settings import SubscriberSettings
 
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-HERE = Address("127.0.0.1", 1)
+RELAY = Address("127.0.0.1", 1)
 PROXY = 1
 
 
-def report(instance, sequence, draining=False, born=BIRTH_UNKNOWN):
-    return InstanceReport(instance, "orders", sequence, draining, born=born)
+def report(instance, sequence, draining=False, started=START_TIME_UNKNOWN):
+    return InstanceReport(instance, "orders", sequence, draining, started_at_ms=started)
 
 
-@given("any order of reports, an instance starts once and never comes back once it left")
+@given("any order of reports, an instance starts once and is not active after it drained")
 def given_any_order(context):
-    words = st.tuples(
+    reports = st.tuples(
         st.sampled_from(["a", "b", "c"]),
         st.integers(0, 5),
         st.sampled_from(["ready", "draining", "ended"]),
     )
 
     @PROPERTY
-    @examples(st.lists(words, max_size=30))
+    @examples(st.lists(reports, max_size=30))
     def check(plan):
-        watch = InstanceWatch()
-        started, left = [], set()
-        for instance, sequence, word in plan:
-            if word == "ended":
-                outcome = watch.ended(instance)
+        tracker = InstanceTracker()
+        started, drained = [], set()
+        for instance, sequence, kind in plan:
+            if kind == "ended":
+                outcome = tracker.handle_end(instance)
             else:
-                outcome = watch.reported(report(instance, sequence, word == "draining"))
+                outcome = tracker.handle_report(report(instance, sequence, kind == "draining"))
             if outcome is ReportOutcome.INSTANCE_STARTED:
-                assert instance not in left
+                assert instance not in drained
                 assert instance not in started
                 started.append(instance)
-            if word != "ready":
-                left.add(instance)
-            if outcome is ReportOutcome.INSTANCE_LEAVES:
+            if kind != "ready":
+                drained.add(instance)
+            if outcome is ReportOutcome.INSTANCE_DRAINING:
                 assert started[-1] == instance
-            assert not (watch.is_staying(instance) and instance in left)
+            assert not (tracker.is_active(instance) and instance in drained)
 
     check()
 
 
-@given('an instance "{instance}" whose report {sequence:d} has come')
+@given('an instance "{instance}" whose report {sequence:d} has arrived')
 def given_instance(context, instance, sequence):
-    context.watch = InstanceWatch()
-    outcome = context.watch.reported(report(instance, sequence))
+    context.tracker = InstanceTracker()
+    outcome = context.tracker.handle_report(report(instance, sequence))
     assert outcome is ReportOutcome.INSTANCE_STARTED
 
 
-@given('an instance "{former}" that another, "{latter}", has taken the place of')
+@given('an instance "{former}" that "{latter}" has replaced')
 def given_replaced(context, former, latter):
-    context.watch = InstanceWatch()
+    context.tracker = InstanceTracker()
     for instance in (former, latter):
-        assert context.watch.reported(report(instance, 1)) is ReportOutcome.INSTANCE_STARTED
+        assert context.tracker.handle_report(report(instance, 1)) is ReportOutcome.INSTANCE_STARTED
 
 
-@when('a late report of "{instance}" comes')
-def when_late(context, instance):
-    context.outcome = context.watch.reported(report(instance, 99))
+@when('a late report of "{instance}" arrives')
+def when_late_report(context, instance):
+    context.outcome = context.tracker.handle_report(report(instance, 99))
 
 
-@when("its report {sequence:d} says that it leaves")
-def when_leaves(context, sequence):
-    context.outcome = context.watch.reported(report("one", sequence, draining=True))
+@when("its report {sequence:d} says that it is draining")
+def when_draining(context, sequence):
+    context.outcome = context.tracker.handle_report(report("one", sequence, draining=True))
 
 
-@when("it says that it ends")
+@when("it reports its end")
 def when_ends(context):
-    context.outcome = context.watch.ended("one")
+    context.outcome = context.tracker.handle_end("one")
 
 
-@then("nothing follows from it")
-def then_nothing(context):
-    assert context.outcome is ReportOutcome.NOTHING_NEW
+@then("it has no effect on the agent")
+def then_no_effect(context):
+    assert context.outcome is ReportOutcome.NO_CHANGE
 
 
-@then("the instance leaves")
-def then_leaves(context):
-    assert context.outcome is ReportOutcome.INSTANCE_LEAVES
+@then("the instance drains")
+def then_drains(context):
+    assert context.outcome is ReportOutcome.INSTANCE_DRAINING
 
 
-@given('an instance "{instance}", born at {born:d}, whose report {sequence:d} has come')
-def given_born(context, instance, born, sequence):
-    context.watch = InstanceWatch()
-    outcome = context.watch.reported(report(instance, sequence, born=born))
+@given('an instance "{instance}", started at {started:d}, whose report {sequence:d} has arrived')
+def given_started(context, instance, started, sequence):
+    context.tracker = InstanceTracker()
+    outcome = context.tracker.handle_report(report(instance, sequence, started=started))
     assert outcome is ReportOutcome.INSTANCE_STARTED
 
 
-@given('an instance "{instance}" that was found by asking')
-def given_found(context, instance):
-    context.watch = InstanceWatch()
-    assert context.watch.reported(report(instance, -1)) is ReportOutcome.INSTANCE_STARTED
+@given('an instance "{instance}" that was found by a probe')
+def given_probed(context, instance):
+    context.tracker = InstanceTracker()
+    assert context.tracker.handle_report(report(instance, -1)) is ReportOutcome.INSTANCE_STARTED
 
 
-@when('"{instance}", born at {born:d}, says report {sequence:d}')
-def when_born_reports(context, instance, born, sequence):
-    context.outcome = context.watch.reported(report(instance, sequence, born=born))
+@when('"{instance}", started at {started:d}, sends report {sequence:d}')
+def when_run_reports(context, instance, started, sequence):
+    context.outcome = context.tracker.handle_report(report(instance, sequence, started=started))
 
 
-@when('"{instance}", born at {born:d}, says reports {sequences}')
-def when_born_reports_several(context, instance, born, sequences):
+@when('"{instance}", started at {started:d}, sends reports {sequences}')
+def when_run_reports_several(context, instance, started, sequences):
     for sequence in map(int, sequences.split(", ")):
-        context.outcome = context.watch.reported(report(instance, sequence, born=born))
+        context.outcome = context.tracker.handle_report(report(instance, sequence, started=started))
 
 
-@when('"{instance}", born at {born:d}, says late that it leaves')
-def when_born_leaves(context, instance, born):
-    context.outcome = context.watch.reported(report(instance, 1, draining=True, born=born))
+@when('"{instance}", started at {started:d}, sends a late report that it is draining')
+def when_run_drains(context, instance, started):
+    context.outcome = context.tracker.handle_report(
+        report(instance, 1, draining=True, started=started)
+    )
 
 
-@when('"{instance}", born at {born:d}, says late that it ends')
-def when_born_ends(context, instance, born):
-    context.outcome = context.watch.ended(instance, born)
+@when('"{instance}", started at {started:d}, reports its end late')
+def when_run_ends(context, instance, started):
+    context.outcome = context.tracker.handle_end(instance, started)
 
 
-@when('"{instance}" says report {sequence:d} without a birth')
-def when_reports_unborn(context, instance, sequence):
-    context.outcome = context.watch.reported(report(instance, sequence))
+@when('"{instance}" sends report {sequence:d} without a start time')
+def when_reports_without_start(context, instance, sequence):
+    context.outcome = context.tracker.handle_report(report(instance, sequence))
 
 
-@when('"{instance}" says without a birth that it ends')
-def when_ends_unborn(context, instance):
-    context.outcome = context.watch.ended(instance)
+@when('"{instance}" reports its end without a start time')
+def when_ends_without_start(context, instance):
+    context.outcome = context.tracker.handle_end(instance)
 
 
-@then("a run starts")
+@then("a new run starts")
 def then_starts(context):
     assert context.outcome is ReportOutcome.INSTANCE_STARTED, context.outcome
 
 
-@then("the run before is over and none takes its place")
-def then_over(context):
+@then("the previous run has ended and no run is active")
+def then_replaced(context):
     assert context.outcome is ReportOutcome.INSTANCE_ENDED, context.outcome
-    assert not context.watch.is_staying(context.watch.instance)
+    assert not context.tracker.is_active(context.tracker.instance)
 
 
-@then('"{instance}", born at {born:d}, is staying')
-def then_staying(context, instance, born):
-    assert context.watch.is_staying(instance, born)
+@then('"{instance}", started at {started:d}, is active')
+def then_active(context, instance, started):
+    assert context.tracker.is_active(instance, started)
 
 
 @given("any order of reports of runs, no run starts after a later one or after its end")
 def given_any_runs(context):
-    words = st.tuples(
+    reports = st.tuples(
         st.integers(1, 4),
         st.integers(0, 5),
         st.sampled_from(["ready", "draining", "ended"]),
     )
 
     @PROPERTY
-    @examples(st.lists(words, max_size=30))
+    @examples(st.lists(reports, max_size=30))
     def check(plan):
-        watch = InstanceWatch()
-        newest, left = 0, set()
-        for born, sequence, word in plan:
-            if word == "ended":
-                outcome = watch.ended("a", born)
+        tracker = InstanceTracker()
+        newest, drained = 0, set()
+        for started, sequence, kind in plan:
+            if kind == "ended":
+                outcome = tracker.handle_end("a", started)
             else:
-                outcome = watch.reported(report("a", sequence, word == "draining", born))
+                outcome = tracker.handle_report(report("a", sequence, kind == "draining", started))
             if outcome is ReportOutcome.INSTANCE_STARTED:
-                assert born > newest and born not in left
-            newest = max(newest, born)
-            if word != "ready":
-                left.add(born)
-            staying = [each for each in range(1, 5) if watch.is_staying("a", each)]
-            assert staying == ([] if newest in left else [newest]), (staying, newest, left)
+                assert started > newest and started not in drained
+            newest = max(newest, started)
+            if kind != "ready":
+                drained.add(started)
+            active = [each for each in range(1, 5) if tracker.is_active("a", each)]
+            assert active == ([] if newest in drained else [newest]), (active, newest, drained)
 
     check()
 
 
-@given("an agent with calls running and waiting")
+@given("an agent with one running and one queued call")
 def given_agent(context):
     registration = RegistrationSettings(
-        relays=(HERE,), service="orders", instance="one", zone="a", address=HERE, slots=1
+        relays=(RELAY,), service="orders", instance="one", zone="a", address=RELAY, slots=1
     )
-    subscriber = SubscriberSettings(publishers=(HERE,), services=("orders",))
+    subscriber = SubscriberSettings(publishers=(RELAY,), services=("orders",))
     limits = CallLimits(queue=QueueLimits(slots=1))
     core = AgentCore(AgentOptions(registration, subscriber, limits), 1, random.Random(1))
     core.handle(Started(), 0.0)
@@ -232,12 +234,12 @@
     context.agent = core
 
 
-@when("the agent's back end is gone")
-def when_gone(context):
+@when("the agent's back end has ended")
+def when_backend_ends(context):
     context.outputs = list(context.agent.handle(BackendGone(), 0.1))
 
 
-@then("those that ran have an unknown outcome, those that waited were not run")
+@then("the running call has an unknown outcome and the queued one was not run")
 def then_outcomes(context):
     failed = [
         output.message
@@ -248,7 +250,7 @@
     assert outcomes == {1: Outcome.UNKNOWN, 2: Outcome.NOT_RUN}, outcomes
 
 
-@then("the agent has nothing more to do")
+@then("the agent has finished draining")
 def then_finished(context):
     assert any(isinstance(output, DrainFinished) for output in context.outputs)
     assert context.agent.next_deadline() is None
--- a/src/limelever/node/__init__.py
+++ b/src/limelever/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node process: a proxy and the agent of one back end together, for small sites."""
+"""The node process: a proxy and the agent of one back end in one process, for small deployments."""
--- a/src/limelever/node/process.py
+++ b/src/limelever/node/process.py
@@ -1,4 +1,4 @@
-"""The node process: a proxy and the agent of the instance beside it, for small sites."""
+"""The node process: a proxy and the agent of the local instance in one, for small deployments."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from limelever.agent.events import REPORT_REFUSED
 from limelever.common.errors import Failure
 from limelever.common.settings import seconds
-from limelever.node.agent_supervisor import InstanceAgents
+from limelever.node.agent_supervisor import AgentSupervisor
 from limelever.node.reports import InstanceReport
 from limelever.node.settings import NodeSettings, proxy_settings
 from limelever.proxy import process as proxy_process
@@ -27,81 +27,83 @@
 )
 from limelever.transport.reload import SettingsFile
 
-REFUSED_LOG_INTERVAL = 10.0
-"""Seconds between two log lines on refused reports: a writer that goes on floods no log."""
+REFUSAL_LOG_INTERVAL_SECONDS = 10.0
+"""Minimum interval between log lines about refused reports."""
 
 
-class NodeDoor:
-    """What further interfaces of a node use: its readiness, and the reports of its instance."""
+class NodeInterface:
+    """What gateways of a node use to read its readiness and pass on the reports of its instance."""
 
-    def __init__(self, shell: ProcessShell, agents: InstanceAgents) -> None:
+    def __init__(self, shell: ProcessShell, supervisor: AgentSupervisor) -> None:
         self._shell = shell
-        self._agents = agents
-        self._refused = 0
+        self._supervisor = supervisor
+        self._refused_count = 0
         self._next_log_at = -math.inf
 
     @property
     def ready(self) -> bool:
-        """Return whether callers are to come here."""
+        """Return whether the node accepts requests."""
         return self._shell.ready
 
-    def report(self, report: InstanceReport | Failure) -> Failure | None:
-        """Take an instance's report; what follows from it has begun when this returns.
+    def handle_report(self, report: InstanceReport | Failure) -> Failure | None:
+        """Apply an instance's report; log it if it is refused or could not be read.
 
-        Returns why it names no instance to use, as it may come from elsewhere or be unreadable.
+        Returns why the report is refused, or ``None``. Its effects have begun on return.
         """
-        failure = report if isinstance(report, Failure) else self._agents.report(report)
+        failure = report if isinstance(report, Failure) else self._supervisor.handle_report(report)
         if failure is not None:
             self._log_refused(failure)
         return failure
 
-    def instance_ended(self, instance: str, born: int) -> None:
-        """Take the word of an instance that it ends; no call begins there from now on."""
-        self._agents.instance_ended(instance, born)
+    def instance_ended(self, instance: str, started_at_ms: int) -> None:
+        """Record that an instance has ended; no call starts there from now on."""
+        self._supervisor.instance_ended(instance, started_at_ms)
 
     def _log_refused(self, failure: Failure) -> None:
-        self._refused += 1
+        self._refused_count += 1
         now = trio.current_time()
         if now >= self._next_log_at:
-            write_event(REPORT_REFUSED, {"reason": failure.reason, "refused": self._refused})
-            self._next_log_at = now + REFUSED_LOG_INTERVAL
+            write_event(REPORT_REFUSED, {"reason": failure.reason, "refused": self._refused_count})
+            self._next_log_at = now + REFUSAL_LOG_INTERVAL_SECONDS
 
 
-Gateways = Callable[[NodeDoor], Sequence[Gateway]]
+GatewayFactory = Callable[[NodeInterface], Sequence[Gateway]]
 
 
 def run(
     settings: NodeSettings,
-    gateways: Gateways = lambda _: (),
+    gateways: GatewayFactory = lambda _: (),
     *,
     source: SettingsFile | None = None,
 ) -> int:
     """Run the process until a planned stop or a failure; return the exit status."""
-    main = partial(_main, _spread(settings), gateways)
+    main = partial(_main, _with_shuffled_relays(settings), gateways)
     return run_role(settings, main, source=source)
 
 
-def _spread(settings: NodeSettings) -> NodeSettings:
-    """Put the relays in an order drawn at random, so that not all nodes begin with one."""
+def _with_shuffled_relays(settings: NodeSettings) -> NodeSettings:
+    """Shuffle the relays, so that nodes don't all connect to the same one first."""
     relays = random.sample(settings.relays, len(settings.relays))
     return attrs.evolve(settings, relays=tuple(relays))
 
 
-async def _main(settings: NodeSettings, gateways: Gateways, shell: ProcessShell) -> None:
-    done = trio.Event()
-    async with trio.open_nursery() as serving:
-        agents = InstanceAgents(settings, shell, serving)
+async def _main(settings: NodeSettings, gateways: GatewayFactory, shell: ProcessShell) -> None:
+    stopped = trio.Event()
+    async with trio.open_nursery() as gateway_nursery:
+        supervisor = AgentSupervisor(settings, shell, gateway_nursery)
         await shell.listen(settings.listen)
-        failure = await start_gateways(gateways(NodeDoor(shell, agents)), done, serving)
+        failure = await start_gateways(
+            gateways(NodeInterface(shell, supervisor)), stopped, gateway_nursery
+        )
         if failure is not None:
             raise ProcessFailedError(failure)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                proxy_process.serve, proxy_settings(settings), shell, agents.told_by_proxy
+                proxy_process.serve, proxy_settings(settings), shell, supervisor.handle_proxy_output
             )
             await shell.stop_requested.wait()
             await trio.sleep(seconds(settings.edge.lame_duck_ms))
             with trio.move_on_at(shell.stop_limit_at - FINAL_ANSWERS_SECONDS):
-                await agents.stop()
-            agents.cut_off()
-        done.set()
+                await supervisor.stop()
+            supervisor.abort_calls()
+        stopped.set()
--- a/src/limelever/node/reports.py
+++ b/src/limelever/node/reports.py
@@ -1,8 +1,8 @@
-"""What instances report of themselves, and what a node makes of it.
+"""Reports of the instance beside a node, and the tracker that derives its state from them.
 
-An instance reports itself again and again. Reports may come late and out of order, so each carries
-a sequence number. An identifier may come back after a crash or an end: its runs are told apart by
-the time at which each was born, and of two runs of an identifier the one born later is the newer.
+An instance sends reports periodically. They may arrive late and out of order, so each carries a
+sequence number. An instance may restart under the same identifier; its runs are distinguished by
+their start times, and the one that started last is the current one.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 from limelever.common.sansio import Address
 
-RETIRED_LIMIT = 256
-"""Identifiers of ended instances that are remembered, so that late reports don't revive them."""
+MAX_ENDED_INSTANCES = 256
+"""Identifiers of ended instances that are kept, so that late reports don't start them again."""
 
-BIRTH_UNKNOWN = 0
-"""Birth of a run that didn't tell it: it can't be told from other runs of its identifier."""
+START_TIME_UNKNOWN = 0
+"""Start time of a run that didn't report one; it matches any run of its identifier."""
 
-EARLIER_REPORTS = 3
-"""Reports in a row, none of the followed instance between them, after which another one that was
-born earlier takes its place: more than a cut is likely to hold back, and with 1.5 s between two
-reports an instance started after the time of day was set back is idle for 4 s at most."""
+TAKEOVER_REPORTS = 3
+"""Reports in a row, without one of the tracked instance in between, after which an instance with an
+earlier start time replaces it. A network interruption is unlikely to delay as many; at a report per
+1.5 s an instance that started after the clock was set back is idle for at most 4 s."""
 
 
 class InstanceReport(Struct, frozen=True):
-    """One report.
+    """One report of an instance.
 
-    ``warm_up_left`` is in seconds, ``slots`` 0 where the instance names none, ``born`` the Unix
-    time of the run's start in milliseconds, ``version`` that of its software, empty where it isn't
-    known. Without an ``address`` it is the node's own instance.
+    ``warm_up_left`` is in seconds, ``slots`` is 0 if not reported, ``started_at_ms`` is the Unix
+    time of the run's start, and ``version`` is that of its software, empty if unknown. Without an
+    ``address`` the report is about the instance beside the node.
     """
 
     instance: str
@@ -40,111 +40,117 @@
     draining: bool = False
     slots: int = 0
     warm_up_left: float = 0.0
-    born: int = BIRTH_UNKNOWN
+    started_at_ms: int = START_TIME_UNKNOWN
     address: Address | None = None
     version: str = ""
 
 
 class ReportOutcome(Enum):
-    """What follows from a report."""
+    """What a report means for the agent of the instance."""
 
-    NOTHING_NEW = auto()
+    NO_CHANGE = auto()
     INSTANCE_STARTED = auto()
-    INSTANCE_LEAVES = auto()
+    INSTANCE_DRAINING = auto()
     INSTANCE_ENDED = auto()
-    """The run that was followed is over, and the one that took its place takes no work."""
+    """The tracked run has ended, and the run that replaced it is draining already."""
 
 
-class InstanceWatch:
-    """Follows the one instance beside a node, from its own reports."""
+class InstanceTracker:
+    """Tracks the one instance beside a node by its reports."""
 
     def __init__(self) -> None:
         self._instance = ""
-        self._born = BIRTH_UNKNOWN
+        self._started_at_ms = START_TIME_UNKNOWN
         self._sequence = -1
-        self._leaving = False
-        self._retired: OrderedDict[str, int] = OrderedDict()
-        self._earlier = _EarlierInstance()
+        self._draining = False
+        self._ended_runs: OrderedDict[str, int] = OrderedDict()
+        self._candidate = _TakeoverCandidate()
 
     @property
     def instance(self) -> str:
-        """Return the identifier of the instance that is followed; empty when there is none."""
+        """Return the identifier of the tracked instance, empty if there is none."""
         return self._instance
 
-    def is_staying(self, instance: str, born: int = BIRTH_UNKNOWN) -> bool:
-        """Return whether this run is the one followed, and has not said that it leaves."""
-        return self._follows(instance, born) and not self._leaving
-
-    def reported(self, report: InstanceReport) -> ReportOutcome:
-        """Take a report."""
-        if self._is_over(report.instance, report.born):
-            return ReportOutcome.NOTHING_NEW
-        if not self._follows(report.instance, report.born):
-            return self._another_run(report)
-        self._earlier.reset()
-        self._born = max(self._born, report.born)
+    def is_active(self, instance: str, started_at_ms: int = START_TIME_UNKNOWN) -> bool:
+        """Return whether this is the tracked run and it is not draining."""
+        return self._is_tracked(instance, started_at_ms) and not self._draining
+
+    def handle_report(self, report: InstanceReport) -> ReportOutcome:
+        """Update the state from a report."""
+        if self._has_ended(report.instance, report.started_at_ms):
+            return ReportOutcome.NO_CHANGE
+        if not self._is_tracked(report.instance, report.started_at_ms):
+            return self._handle_other_run(report)
+        self._candidate.reset()
+        self._started_at_ms = max(self._started_at_ms, report.started_at_ms)
         if report.sequence <= self._sequence and not report.draining:
-            return ReportOutcome.NOTHING_NEW
+            return ReportOutcome.NO_CHANGE
         self._sequence = max(self._sequence, report.sequence)
-        if report.draining and not self._leaving:
-            self._leaving = True
-            return ReportOutcome.INSTANCE_LEAVES
-        return ReportOutcome.NOTHING_NEW
-
-    def ended(self, instance: str, born: int = BIRTH_UNKNOWN) -> ReportOutcome:
-        """Take the word that an instance ends; the same holds for one not heard of before."""
-        if self._is_over(instance, born):
-            return ReportOutcome.NOTHING_NEW
+        if report.draining and not self._draining:
+            self._draining = True
+            return ReportOutcome.INSTANCE_DRAINING
+        return ReportOutcome.NO_CHANGE
+
+    def handle_end(self, instance: str, started_at_ms: int = START_TIME_UNKNOWN) -> ReportOutcome:
+        """Record that an instance has ended, even if it has never reported itself."""
+        if self._has_ended(instance, started_at_ms):
+            return ReportOutcome.NO_CHANGE
         if instance != self._instance:
-            self._retire(instance, born)
-            return ReportOutcome.NOTHING_NEW
-        left_before = self._leaving
-        self._retire(instance, max(born, self._born))
-        self._instance, self._born = "", BIRTH_UNKNOWN
-        self._sequence, self._leaving = -1, False
-        return ReportOutcome.NOTHING_NEW if left_before else ReportOutcome.INSTANCE_LEAVES
-
-    def _follows(self, instance: str, born: int) -> bool:
+            self._mark_ended(instance, started_at_ms)
+            return ReportOutcome.NO_CHANGE
+        was_draining = self._draining
+        self._mark_ended(instance, max(started_at_ms, self._started_at_ms))
+        self._instance, self._started_at_ms = "", START_TIME_UNKNOWN
+        self._sequence, self._draining = -1, False
+        return ReportOutcome.NO_CHANGE if was_draining else ReportOutcome.INSTANCE_DRAINING
+
+    def _is_tracked(self, instance: str, started_at_ms: int) -> bool:
         if not instance or instance != self._instance:
             return False
-        return born == self._born or BIRTH_UNKNOWN in (born, self._born)
+        return started_at_ms == self._started_at_ms or START_TIME_UNKNOWN in (
+            started_at_ms,
+            self._started_at_ms,
+        )
 
-    def _is_over(self, instance: str, born: int) -> bool:
-        """Return whether this is a run that ended, or that a later one has followed."""
+    def _has_ended(self, instance: str, started_at_ms: int) -> bool:
+        """Return whether this run has ended or a later run of its identifier is known."""
         if instance == self._instance:
-            return BIRTH_UNKNOWN < born < self._born
-        retired = self._retired.get(instance)
-        if retired is None:
+            return START_TIME_UNKNOWN < started_at_ms < self._started_at_ms
+        last_started_at_ms = self._ended_runs.get(instance)
+        if last_started_at_ms is None:
             return False
-        return not BIRTH_UNKNOWN < retired < born
+        return not START_TIME_UNKNOWN < last_started_at_ms < started_at_ms
 
-    def _another_run(self, report: InstanceReport) -> ReportOutcome:
-        """Follow another run, unless it seems to have been here before the one followed."""
-        was_there = bool(self._instance) and not self._leaving
+    def _handle_other_run(self, report: InstanceReport) -> ReportOutcome:
+        """Track another run, unless the report seems to be a late one of a former instance."""
+        was_active = bool(self._instance) and not self._draining
         if self._instance and self._instance != report.instance:
-            if BIRTH_UNKNOWN < report.born < self._born and not self._earlier.lives(report):
-                return ReportOutcome.NOTHING_NEW
-            self._retire(self._instance, self._born)
-        self._earlier.reset()
-        self._retired.pop(report.instance, None)
-        self._instance, self._born = report.instance, report.born
+            if (
+                START_TIME_UNKNOWN < report.started_at_ms < self._started_at_ms
+                and not self._candidate.is_confirmed_by(report)
+            ):
+                return ReportOutcome.NO_CHANGE
+            self._mark_ended(self._instance, self._started_at_ms)
+        self._candidate.reset()
+        self._ended_runs.pop(report.instance, None)
+        self._instance, self._started_at_ms = report.instance, report.started_at_ms
         self._sequence = report.sequence
-        self._leaving = report.draining
+        self._draining = report.draining
         if not report.draining:
             return ReportOutcome.INSTANCE_STARTED
-        return ReportOutcome.INSTANCE_ENDED if was_there else ReportOutcome.NOTHING_NEW
+        return ReportOutcome.INSTANCE_ENDED if was_active else ReportOutcome.NO_CHANGE
 
-    def _retire(self, instance: str, born: int) -> None:
-        self._retired[instance] = born
-        while len(self._retired) > RETIRED_LIMIT:
-            self._retired.popitem(last=False)
+    def _mark_ended(self, instance: str, started_at_ms: int) -> None:
+        self._ended_runs[instance] = started_at_ms
+        while len(self._ended_runs) > MAX_ENDED_INSTANCES:
+            self._ended_runs.popitem(last=False)
 
 
-class _EarlierInstance:
-    """Reports of an instance born before the one followed.
+class _TakeoverCandidate:
+    """Counts the reports of an instance with an earlier start time than the tracked one.
 
-    They are late words of one that was here before, unless they go on: then the time of day was
-    set back between the two starts.
+    A few are late reports of a former instance. If they continue, the instance is running, and the
+    clock was set back before it started.
     """
 
     def __init__(self) -> None:
@@ -152,14 +158,17 @@
         self._count = 0
 
     def reset(self) -> None:
-        """Forget them: the instance that is followed has reported itself."""
+        """Restart the count, as the tracked instance has reported itself."""
         self._last, self._count = None, 0
 
-    def lives(self, report: InstanceReport) -> bool:
-        """Take a report; return whether its instance is there after all."""
+    def is_confirmed_by(self, report: InstanceReport) -> bool:
+        """Count a report; return whether its instance replaces the tracked one."""
         last = self._last
-        if last is None or (last.instance, last.born) != (report.instance, report.born):
+        if last is None or (last.instance, last.started_at_ms) != (
+            report.instance,
+            report.started_at_ms,
+        ):
             self._last, self._count = report, 1
         elif report.sequence > last.sequence:
             self._last, self._count = report, self._count + 1
-        return self._count >= EARLIER_REPORTS
+        return self._count >= TAKEOVER_REPORTS
--- a/src/limelever/node/settings.py
+++ b/src/limelever/node/settings.py
@@ -42,7 +42,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeSettings(ProcessSettings):
-    """Settings of one node; ``listen`` is where other nodes' proxies reach the agent."""
+    """Settings of one node; proxies of other nodes connect to the agent at ``listen``."""
 
     ROLE: ClassVar[Role] = Role.NODE
     CLASHES: ClassVar[tuple[Clash, ...]] = (
@@ -68,7 +68,7 @@
 
 
 def proxy_settings(settings: NodeSettings) -> ProxySettings:
-    """Return the settings of the proxy within the process."""
+    """Return the settings of the proxy in this process."""
     return ProxySettings(
         role=Role.PROXY,
         name=settings.name,
@@ -88,18 +88,18 @@
     )
 
 
-def dialling_pauses(settings: NodeSettings) -> BackoffSettings:
-    """Return the pauses between the agent's attempts to register at a relay."""
-    longest = seconds(settings.configuration.longest_pause_ms)
-    return SubscriberSettings(settings.relays, longest_pause=longest).dialling
+def registration_backoff(settings: NodeSettings) -> BackoffSettings:
+    """Return the backoff between the agent's attempts to register at a relay."""
+    longest_pause = seconds(settings.configuration.longest_pause_ms)
+    return SubscriberSettings(settings.relays, longest_pause=longest_pause).dialling
 
 
 def agent_settings(settings: NodeSettings, report: InstanceReport, name: str) -> AgentSettings:
-    """Return the settings of an agent for the instance that reported itself.
+    """Return the settings of an agent for an instance, from its report.
 
-    ``name`` names this run of the agent: one that restarts beside the same instance is another
-    endpoint, so that no clock has to tell which of the two is newer. What the instance reports
-    takes the place of probes; of slots, no more than the settings could name are used.
+    ``name`` is unique to this run of the agent. An agent that restarts beside the same instance is
+    a new endpoint, so no clock is needed to tell which of the two is newer. Reports replace probes;
+    the number of slots is capped at what the settings allow.
     """
     slots = min(report.slots or settings.backend.slots, MOST_SLOTS)
     return AgentSettings(
