--- a/features/node/reports.feature
+++ b/features/node/reports.feature
@@ -26,10 +26,10 @@
     Then the running call has an unknown outcome and the queued one was not run
     And the agent has finished draining
 
-  Scenario: An agent takes the configuration and the relays from the proxy of its process
+  Scenario: An agent uses the configuration and the relays of the proxy in its process
     Given an agent without a subscription of its own, registered at "10.0.0.1"
-    When its process shares a configuration with a largest body of 100 bytes
-    Then a call with a body of 101 bytes is refused there, and one of 100 is not
+    When its process shares a configuration with a maximum body size of 100 bytes
+    Then a call with a body of 101 bytes is refused, and one of 100 is not
     When its process shares relays of which "10.0.0.2" is preferred
     Then the agent registers at "10.0.0.2"
     And it has never subscribed
--- a/features/rollout/rollout.feature
+++ b/features/rollout/rollout.feature
@@ -82,9 +82,9 @@
     When the same rollout is ordered again
     Then nothing was committed for it
     When a rollout to "v3" in 12 seconds is ordered
-    Then it is refused as "conflict", and the one to "v2" stands
-    When a rollout of a service that is not known is ordered
-    Then it is refused as "not-found", and the one to "v2" stands
+    Then it is refused as "conflict", and the rollout to "v2" is unchanged
+    When a rollout of an unknown service is ordered
+    Then it is refused as "not-found", and the rollout to "v2" is unchanged
 
   Scenario: A completed rollout's version is the baseline of the next one
     Given a control process with a service whose back ends are of "v1"
--- a/features/steps/node_report_steps.py
+++ b/features/steps/node_report_steps.py
@@ -37,7 +37,7 @@
 from limelever.subscriber.settings import SubscriberSettings
 
 PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-RELAY = Address("127.0.0.1", 1)
+ADDRESS = Address("127.0.0.1", 1)
 PROXY = 1
 
 
@@ -209,9 +209,9 @@
 @given("an agent with one running and one queued call")
 def given_agent(context):
     registration = RegistrationSettings(
-        relays=(RELAY,), service="orders", instance="one", zone="a", address=RELAY, slots=1
+        relays=(ADDRESS,), service="orders", instance="one", zone="a", address=ADDRESS, slots=1
     )
-    subscriber = SubscriberSettings(publishers=(RELAY,), services=("orders",))
+    subscriber = SubscriberSettings(publishers=(ADDRESS,), services=("orders",))
     limits = CallLimits(queue=QueueLimits(slots=1))
     core = AgentCore(AgentOptions(registration, subscriber, limits), 1, random.Random(1))
     core.handle(Started(), 0.0)
--- a/features/steps/rollout_order_steps.py
+++ b/features/steps/rollout_order_steps.py
@@ -1,4 +1,4 @@
-"""Steps for orders of rollouts at a control process, on the shipped state machine."""
+"""Steps for rollout orders at a control process, run against the product's state machine."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 ORDERED_AT_MS = 1_000_000
 
 
-class StateDesk:
-    """Answers as a leader does, by a state machine; other changes come between, if wanted."""
+class FakeLeader:
+    """Answers requests as the leader does; can commit concurrent changes before a write."""
 
     def __init__(self):
         self.state = StateMachine()
         self.index = 0
-        self.changes_between = 0
+        self.concurrent_changes = 0
         self.commit(self.configuration())
 
     def configuration(self):
@@ -47,24 +47,24 @@
 
     async def ask(self, request):
         if isinstance(request, ApplyRequest):
-            if self.changes_between:
-                self.changes_between -= 1
+            if self.concurrent_changes:
+                self.concurrent_changes -= 1
                 other = Service(name=f"other-{self.index}")
-                name = f"another-change-{self.index}@{self.index}"
-                self.commit(Batch(request_id=name, put=[Resource(service=other)]))
+                request_id = f"another-change-{self.index}@{self.index}"
+                self.commit(Batch(request_id=request_id, put=[Resource(service=other)]))
             return self.commit(request.batch)
         response = GetResponse(version=self.state.version)
         for key in request.keys:
-            found = self.state.get(Key.from_message(key))
-            if found is None:
+            resource = self.state.get(Key.from_message(key))
+            if resource is None:
                 response.missing.append(key)
             else:
-                response.resources.append(found)
+                response.resources.append(resource)
         return response
 
 
-class Unchecked:
-    """Takes each request as it is."""
+class NoChecks:
+    """Accepts every request unchanged."""
 
     def checked(self, request):
         return request
@@ -72,28 +72,28 @@
 
 @given('a control process with a service whose back ends are of "{version}"')
 def given_control(context, version):
-    context.desk = StateDesk()
+    context.leader = FakeLeader()
     ready = Endpoint(service=SERVICE, version=version, state=ENDPOINT_STATE_READY)
-    context.rollouts = RolloutStore(context.desk, Unchecked(), lambda service: [ready])
+    context.rollouts = RolloutStore(context.leader, NoChecks(), lambda service: [ready])
 
 
 def order(context, target, seconds, service=SERVICE, after_ms=0):
     context.ordered = (target, seconds)
-    context.committed = context.desk.index
+    context.committed = context.leader.index
     with mock.patch.object(rollout_store, "unix_ms", lambda: ORDERED_AT_MS + after_ms):
         context.result = trio.run(context.rollouts.start, service, target, seconds * 1000)
 
 
-def end(context, ended):
-    trio.run(context.rollouts.update, SERVICE, lambda held: ended(held, "over"))
+def end(context, make_ended):
+    trio.run(context.rollouts.update, SERVICE, lambda current: make_ended(current, "over"))
 
 
 @when(
     'a rollout to "{target}" in {seconds:d} seconds is ordered while the configuration changes '
     "{count:d} times"
 )
-def when_ordered_in_storm(context, target, seconds, count):
-    context.desk.changes_between = count
+def when_ordered_concurrently(context, target, seconds, count):
+    context.leader.concurrent_changes = count
     order(context, target, seconds)
 
 
@@ -124,30 +124,30 @@
     order(context, *context.ordered, after_ms=seconds * 1000)
 
 
-@when("a rollout of a service that is not known is ordered")
+@when("a rollout of an unknown service is ordered")
 def when_unknown(context):
     order(context, "v2", 12, service="nobody")
 
 
-def held(context):
-    return context.desk.state.get(rollout_key(SERVICE)).resource.rollout
+def current_rollout(context):
+    return context.leader.state.get(rollout_key(SERVICE)).resource.rollout
 
 
 @then('it is running from "{baseline}" to "{target}"')
 def then_running(context, baseline, target):
-    rollout = held(context)
+    rollout = current_rollout(context)
     assert not isinstance(context.result, Failure), context.result
     assert (rollout.baseline, rollout.target) == (baseline, target), rollout
     assert rollout.state == ROLLOUT_STATE_RUNNING and not rollout.permille, rollout
 
 
 @then("nothing was committed for it")
-def then_nothing(context):
+def then_nothing_committed(context):
     assert not isinstance(context.result, Failure), context.result
-    assert context.desk.index == context.committed
+    assert context.leader.index == context.committed
 
 
-@then('it is refused as "{kind}", and the one to "{target}" stands')
+@then('it is refused as "{kind}", and the rollout to "{target}" is unchanged')
 def then_refused(context, kind, target):
     assert isinstance(context.result, Failure) and context.result.kind.value == kind, context.result
-    assert held(context).target == target
+    assert current_rollout(context).target == target
--- a/features/steps/rollout_process_steps.py
+++ b/features/steps/rollout_process_steps.py
@@ -1,4 +1,4 @@
-"""Steps for orders of rollouts on the platform's processes."""
+"""Steps for rollout orders sent to the platform's control process."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 SERVICE = "alpha"
 
 
-def ask(context, target, seconds):
+def order_rollout(context, target, seconds):
     order = {"service": SERVICE, "targetVersion": target, "durationS": seconds}
     return call(context.operator, "POST", ROLLOUTS, json.dumps(order).encode())[0]
 
 
-def told(context):
+def rollout_status(context):
     status, _, body = call(context.operator, "GET", f"{ROLLOUTS}/{SERVICE}")
     return json.loads(body) if status == 200 else None
 
@@ -24,16 +24,16 @@
 @when('the platform\'s operator orders a rollout to "{target}" in {seconds:d} seconds')
 def when_ordered(context, target, seconds):
     context.seconds = seconds
-    assert ask(context, target, seconds) == 200
+    assert order_rollout(context, target, seconds) == 200
 
 
-@then('the platform\'s operator is told that the rollout to "{target}" is "{state}"')
-def then_told(context, target, state):
-    wait_until(lambda: told(context) is not None, "the state is told")
-    assert told(context) == {"state": state, "targetVersion": target}
+@then('the control process reports the rollout to "{target}" as "{state}"')
+def then_reported(context, target, state):
+    wait_until(lambda: rollout_status(context) is not None, "the state is reported")
+    assert rollout_status(context) == {"state": state, "targetVersion": target}
 
 
-@when("the control process is killed and started again")
+@when("the control process is killed and restarted")
 def when_killed(context):
     control = context.machines[0]
     control.end()
@@ -42,29 +42,29 @@
 
 @then('the same order is acknowledged, and one to "{other}" is answered {status:d}')
 def then_again(context, other, status):
-    assert ask(context, "v2", context.seconds) == 200
-    assert ask(context, other, context.seconds) == status
+    assert order_rollout(context, "v2", context.seconds) == 200
+    assert order_rollout(context, other, context.seconds) == status
 
 
-@then('within its time the rollout to "{target}" is "{state}"')
+@then('the rollout to "{target}" ends as "{state}"')
 def then_ended(context, target, state):
     wanted = {"state": state, "targetVersion": target}
-    wait_until(lambda: told(context) == wanted, f"the rollout is {state}")
+    wait_until(lambda: rollout_status(context) == wanted, f"the rollout is {state}")
 
 
-ORDERS = {
-    "no object": [],
-    "without a service": {"targetVersion": "v2", "durationS": 5},
-    "without a version": {"service": SERVICE, "durationS": 5},
-    "of no time": {"service": SERVICE, "targetVersion": "v2", "durationS": 0},
-    "of a version with a space": {"service": SERVICE, "targetVersion": "v 2", "durationS": 5},
-    "of a service not known": {"service": "nobody", "targetVersion": "v2", "durationS": 5},
+INVALID_ORDERS = {
+    "not an object": [],
+    "no service": {"targetVersion": "v2", "durationS": 5},
+    "no version": {"service": SERVICE, "durationS": 5},
+    "zero duration": {"service": SERVICE, "targetVersion": "v2", "durationS": 0},
+    "version with a space": {"service": SERVICE, "targetVersion": "v 2", "durationS": 5},
+    "unknown service": {"service": "nobody", "targetVersion": "v2", "durationS": 5},
 }
 
 
-@then("these orders of rollouts are refused")
-def then_flawed(context):
+@then("these rollout orders are refused")
+def then_refused(context):
     for row in context.table:
-        order = json.dumps(ORDERS[row["flaw"]]).encode()
+        order = json.dumps(INVALID_ORDERS[row["order"]]).encode()
         status = call(context.operator, "POST", ROLLOUTS, order)[0]
-        assert status == int(row["status"]), (row["flaw"], status)
+        assert status == int(row["status"]), (row["order"], status)
--- a/features/steps/shared_configuration_steps.py
+++ b/features/steps/shared_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an agent that shares the configuration of its process's proxy."""
+"""Steps for an agent that uses the configuration of the proxy in its process."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 NOW = 100.0
 
 
-def tell(context: Context, event: Event) -> None:
+def handle(context: Context, event: Event) -> None:
     context.outputs.extend(context.core.handle(event, NOW))
 
 
-def dials(context: Context) -> list[OpenConnection]:
+def opened_connections(context: Context) -> list[OpenConnection]:
     return [output for output in context.outputs if isinstance(output, OpenConnection)]
 
 
@@ -47,27 +47,27 @@
     )
     context.core = AgentCore(AgentOptions(registration, None), 7, random.Random(1))
     context.outputs = []
-    tell(context, Started())
-    tell(context, BackendProbed(True))
-    (dial,) = dials(context)
-    tell(context, ConnectionOpened(dial.connection, RELAY))
+    handle(context, Started())
+    handle(context, BackendProbed(True))
+    (opening,) = opened_connections(context)
+    handle(context, ConnectionOpened(opening.connection, RELAY))
     grant = LeaseGranted(lease_ms=6000, incarnation=7)
-    tell(context, MessageReceived(dial.connection, grant))
-    tell(context, ConnectionOpened(PROXY_LINK, PROXY))
+    handle(context, MessageReceived(opening.connection, grant))
+    handle(context, ConnectionOpened(PROXY_LINK, PROXY))
 
 
-@when("its process shares a configuration with a largest body of {size:d} bytes")
+@when("its process shares a configuration with a maximum body size of {size:d} bytes")
 def shares_configuration(context: Context, size: int) -> None:
     service = Service(name="orders", max_body_bytes=size)
     versioned = VersionedResource(version=3, resource=Resource(service=service))
     configuration = EMPTY_CONFIGURATION.changed((), [versioned])
-    tell(context, ConfigurationShared(3, configuration))
+    handle(context, ConfigurationShared(3, configuration))
 
 
-@then("a call with a body of {over:d} bytes is refused there, and one of {within:d} is not")
+@then("a call with a body of {over:d} bytes is refused, and one of {within:d} is not")
 def refused_over(context: Context, over: int, within: int) -> None:
     for stream, size in ((1, over), (2, within)):
-        tell(context, MessageReceived(PROXY_LINK, call_start(stream, body=bytes(size))))
+        handle(context, MessageReceived(PROXY_LINK, call_start(stream, body=bytes(size))))
     sent = [output.message for output in context.outputs if isinstance(output, SendMessage)]
     failed = [message.stream for message in sent if isinstance(message, CallFailed)]
     assert failed == [1], failed
@@ -76,15 +76,17 @@
 @when('its process shares relays of which "{host}" is preferred')
 def shares_relays(context: Context, host: str) -> None:
     known = (Address("10.0.0.1", PORT), Address(host, PORT))
-    tell(context, RelaysShared(PublishersReceived(known, known[1])))
+    handle(context, RelaysShared(PublishersReceived(known, known[1])))
 
 
 @then('the agent registers at "{host}"')
 def registers_at(context: Context, host: str) -> None:
-    assert dials(context)[-1].address == Address(host, PORT)
-    assert dials(context)[-1].purpose is Purpose.REGISTRATION
+    assert opened_connections(context)[-1].address == Address(host, PORT)
+    assert opened_connections(context)[-1].purpose is Purpose.REGISTRATION
 
 
 @then("it has never subscribed")
 def never_subscribed(context: Context) -> None:
-    assert all(dial.purpose is not Purpose.SUBSCRIPTION for dial in dials(context))
+    assert all(
+        opening.purpose is not Purpose.SUBSCRIPTION for opening in opened_connections(context)
+    )
