--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -35,7 +35,7 @@
 WRITE_TIMEOUT_SECONDS = 1.0
 """Time allowed for a write to commit; after it the rollout is evaluated again."""
 
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 _NOT_LEADER_KINDS = frozenset({ErrorKind.NOT_LEADER, ErrorKind.NO_QUORUM, ErrorKind.DRAINING})
 
 
@@ -120,7 +120,7 @@
         return RolloutProgress(
             permille=rollout.permille,
             elapsed=self._elapsed(rollout),
-            duration=rollout.duration_ms / _MILLISECONDS,
+            duration=rollout.duration_ms / _MILLISECONDS_PER_SECOND,
             baseline_ready=len(ready) - target_ready,
             target_ready=target_ready,
         )
@@ -129,7 +129,7 @@
         now = trio.current_time()
         clock = self._clocks.get(rollout.service)
         if clock is None or clock.ordered_at_ms != rollout.ordered_at_ms:
-            elapsed = max(0.0, (unix_ms() - rollout.ordered_at_ms) / _MILLISECONDS)
+            elapsed = max(0.0, (unix_ms() - rollout.ordered_at_ms) / _MILLISECONDS_PER_SECOND)
             clock = _RolloutClock(rollout.ordered_at_ms, now, elapsed)
             self._clocks[rollout.service] = clock
         return clock.elapsed_at_start + now - clock.started_at
