--- a/src/limelever/node/agent_supervisor.py
+++ b/src/limelever/node/agent_supervisor.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.core import AgentCore
 from limelever.agent.health_answer import FoundInstance
 from limelever.agent.interface import (
@@ -142,7 +142,7 @@
     async def _identify(self, path: str) -> None:
         settings = self._settings
         header_names = settings.headers.names()
-        backend = Backend(settings.backend, self._nursery, lambda _: None, header_names)
+        backend = BackendClient(settings.backend, self._nursery, lambda _: None, header_names)
         found: FoundInstance | None = None
         while found is None and not self._tracker.instance and not self._stopping:
             found = await backend.find_instance(path, IDENTIFY_TIMEOUT_SECONDS)
@@ -221,7 +221,7 @@
             listener.identity = replace(listener.identity, incarnation=incarnation)
             runner = self._shell.add_core(core, on_output, accepts=[Purpose.CALLS], role=Role.AGENT)
             header_names = settings.headers.names()
-            backend = Backend(
+            backend = BackendClient(
                 settings.backend, nursery, runner.post, header_names, instance.encode()
             )
             agent = self._agent = _RunningAgent(runner, finished, settings.version)
