--- a/src/limelever/control/rollout_driver.py
+++ b/src/limelever/control/rollout_driver.py
@@ -36,19 +36,20 @@
 """Time allowed for a write to commit; after it the rollout is evaluated again."""
 
 _MILLISECONDS_PER_SECOND = 1000.0
-_NOT_LEADER_KINDS = frozenset({ErrorKind.NOT_LEADER, ErrorKind.NO_QUORUM, ErrorKind.DRAINING})
+_EXPECTED_ERROR_KINDS = frozenset({ErrorKind.NOT_LEADER, ErrorKind.NO_QUORUM, ErrorKind.DRAINING})
+"""Failures of a write that are not logged: another replica leads, or none does at present."""
 
 
 class _RolloutClock(Struct):
-    """Measures how long a rollout has run on the monotonic clock, as the wall clock may be set.
+    """Measures on the monotonic clock how long a rollout has run, as the wall clock may be changed.
 
-    ``elapsed_at_start`` is the time that had passed at ``started_at``, when the rollout was first
-    observed here.
+    ``first_seen_at`` is when this process first saw the rollout, and ``elapsed_when_seen`` the time
+    from the order until then; both in seconds.
     """
 
     ordered_at_ms: int
-    started_at: float
-    elapsed_at_start: float
+    first_seen_at: float
+    elapsed_when_seen: float
 
 
 class RolloutDriver:
@@ -98,7 +99,7 @@
 
         result = await self._rollouts.update(rollout.service, updated)
         if isinstance(result, Failure):
-            if result.kind not in _NOT_LEADER_KINDS:
+            if result.kind not in _EXPECTED_ERROR_KINDS:
                 failed: dict[str, object] = {"service": rollout.service, "reason": str(result)}
                 write_event(events.ROLLOUT_STEP_FAILED, failed)
             return
@@ -132,7 +133,7 @@
             elapsed = max(0.0, (unix_ms() - rollout.ordered_at_ms) / _MILLISECONDS_PER_SECOND)
             clock = _RolloutClock(rollout.ordered_at_ms, now, elapsed)
             self._clocks[rollout.service] = clock
-        return clock.elapsed_at_start + now - clock.started_at
+        return clock.elapsed_when_seen + now - clock.first_seen_at
 
 
 def _with_decision(current: Rollout, decision: Decision) -> Rollout:
--- a/src/limelever/control/rollout_store.py
+++ b/src/limelever/control/rollout_store.py
@@ -44,7 +44,7 @@
 
 
 class RolloutStore:
-    """Holds the rollouts of services; ``endpoints_of`` returns a service's known back ends."""
+    """Reads and writes services' rollouts; ``endpoints_of`` returns a service's known back ends."""
 
     def __init__(
         self,
@@ -91,7 +91,10 @@
     async def update(
         self, service: str, updated: Callable[[Rollout | None], Rollout | Failure | None]
     ) -> Rollout | Failure:
-        """Write what ``updated`` returns for the current rollout; ``None`` leaves it unchanged."""
+        """Write what ``updated`` returns for the current rollout.
+
+        If it returns ``None``, the rollout is unchanged; a ``Failure`` is returned without a write.
+        """
         keys = [service_key(service).to_message(), rollout_key(service).to_message()]
         for _ in range(UPDATE_ATTEMPTS):
             response = await self._operator_requests.ask(GetRequest(keys=keys))
@@ -127,7 +130,10 @@
         return await self._operator_requests.ask(request)
 
     def _baseline(self, service: str, target: str, current: Rollout | None) -> str:
-        """Return the version in use: the last rollout's result, or that of most ready back ends."""
+        """Return the version in use: the last rollout's result, or that of most ready back ends.
+
+        Empty if there is none other than the target.
+        """
         if current is not None:
             in_use = (
                 current.target if current.state == ROLLOUT_STATE_COMPLETED else current.baseline
@@ -158,7 +164,7 @@
 
 
 def unix_ms() -> int:
-    """Return the wall clock time in Unix milliseconds, which stays valid after a leader change."""
+    """Return the Unix time in milliseconds, which can be compared between processes."""
     return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
--- a/src/limelever/control/settings.py
+++ b/src/limelever/control/settings.py
@@ -38,7 +38,11 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutSettings:
-    """Rollouts: the largest percentage of a service's calls that a bad version may receive."""
+    """Settings of rollouts.
+
+    ``exposed_percent`` is the largest percentage of a service's calls during a rollout that a bad
+    version may receive.
+    """
 
     exposed_percent: int = attrs.field(default=10, validator=between(1, 100))
 
--- a/src/limelever/node/agent_supervisor.py
+++ b/src/limelever/node/agent_supervisor.py
@@ -43,7 +43,7 @@
 """Time for the last answers to be sent after the core has finished."""
 
 IDENTIFY_TIMEOUT_SECONDS = 0.3
-"""Time allowed for a probe that identifies the instance, as it may wait for a slot like a call."""
+"""Timeout of a probe that identifies the instance; the back end may queue it behind calls."""
 
 IDENTIFY_INTERVAL_SECONDS = 0.1
 """Pause between two such probes; the instance's own report follows within two seconds."""
@@ -51,7 +51,7 @@
 PROBED_SEQUENCE = -1
 """Sequence number for an instance found by a probe; each of the instance's own reports is newer."""
 
-_NAME_BYTES = 4
+_NAME_SUFFIX_BYTES = 4
 _NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
@@ -64,7 +64,7 @@
 
 
 class AgentSupervisor:
-    """Starts and ends agents as the instance starts, drains and ends."""
+    """Starts, drains and ends agents as the instance starts, drains and ends."""
 
     def __init__(self, settings: NodeSettings, shell: ProcessShell, nursery: trio.Nursery) -> None:
         self._settings = settings
@@ -94,7 +94,7 @@
         return None
 
     def instance_ended(self, instance: str, started_at_ms: int) -> None:
-        """Record that an instance has ended."""
+        """Record that an instance has ended, and drain its agent."""
         if self._tracker.handle_end(instance, started_at_ms) is ReportOutcome.INSTANCE_DRAINING:
             self._drain_agent()
 
@@ -156,7 +156,7 @@
             )
 
     def _refusal(self, report: InstanceReport) -> Failure | None:
-        """Return why a report can't be from the instance beside this node, or ``None``."""
+        """Return why a report is refused, or ``None`` if its address and service are accepted."""
         own_address = self._settings.backend.address
         if report.address not in (None, own_address):
             return Failure(
@@ -191,7 +191,7 @@
         self._end_agent()
         if self._stopping:
             return
-        name = f"{report.instance}-{secrets.token_hex(_NAME_BYTES)}"
+        name = f"{report.instance}-{secrets.token_hex(_NAME_SUFFIX_BYTES)}"
         settings = agent_settings(self._settings, report, name)
         self._nursery.start_soon(partial(self._run_agent, settings, report))
 
--- a/src/limelever/node/process.py
+++ b/src/limelever/node/process.py
@@ -48,7 +48,8 @@
     def handle_report(self, report: InstanceReport | Failure) -> Failure | None:
         """Apply an instance's report; log it if it is refused or could not be read.
 
-        Returns why the report is refused, or ``None``. Its effects have begun on return.
+        Returns why the report is refused, or ``None``. When this returns for a draining report, the
+        agent accepts no more calls.
         """
         failure = report if isinstance(report, Failure) else self._supervisor.handle_report(report)
         if failure is not None:
@@ -56,7 +57,7 @@
         return failure
 
     def instance_ended(self, instance: str, started_at_ms: int) -> None:
-        """Record that an instance has ended; no call starts there from now on."""
+        """Record that an instance has ended; its agent accepts no more calls."""
         self._supervisor.instance_ended(instance, started_at_ms)
 
     def _log_refused(self, failure: Failure) -> None:
--- a/src/limelever/node/reports.py
+++ b/src/limelever/node/reports.py
@@ -22,8 +22,8 @@
 
 TAKEOVER_REPORTS = 3
 """Reports in a row, without one of the tracked instance in between, after which an instance with an
-earlier start time replaces it. A network interruption is unlikely to delay as many; at a report per
-1.5 s an instance that started after the clock was set back is idle for at most 4 s."""
+earlier start time replaces it. A network interruption is unlikely to delay as many; until then an
+instance that started after the clock was set back is idle."""
 
 
 class InstanceReport(Struct, frozen=True):
@@ -51,6 +51,8 @@
     NO_CHANGE = auto()
     INSTANCE_STARTED = auto()
     INSTANCE_DRAINING = auto()
+    """The tracked run is draining, or has ended without draining first."""
+
     INSTANCE_ENDED = auto()
     """The tracked run has ended, and the run that replaced it is draining already."""
 
--- a/src/limelever/node/settings.py
+++ b/src/limelever/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the node process, which hosts a proxy and the agent of the back end beside it."""
+"""Settings of the node process, which hosts a proxy and the agent of the instance beside it."""
 
 from __future__ import annotations
 
@@ -98,8 +98,9 @@
     """Return the settings of an agent for an instance, from its report.
 
     ``name`` is unique to this run of the agent. An agent that restarts beside the same instance is
-    a new endpoint, so no clock is needed to tell which of the two is newer. Reports replace probes;
-    the number of slots is capped at what the settings allow.
+    a new endpoint, so no clock is needed to tell which of the two is newer. Reports replace health
+    probes, so the agent registers without waiting for one to succeed. The number of slots is capped
+    at the maximum that the settings allow.
     """
     slots = min(report.slots or settings.backend.slots, MOST_SLOTS)
     return AgentSettings(
