--- a/features/node/reports.feature
+++ b/features/node/reports.feature
@@ -1,7 +1,7 @@
 Feature: A node tracks the instance beside it by the instance's reports
 
-  Scenario: Reports in any order start an instance once and drain it once
-    Given any order of reports, an instance starts once and is not active after it drained
+  Scenario: Reports in any order start an instance at most once and never after it drained
+    Given any order of reports, an instance starts at most once and is not active after it drained
 
   Scenario: A late report of a replaced instance has no effect
     Given an instance "one" that "two" has replaced
@@ -11,12 +11,12 @@
   Scenario: A draining report takes effect even if it is late
     Given an instance "one" whose report 9 has arrived
     When its report 3 says that it is draining
-    Then the instance drains
+    Then the instance's agent is to drain
 
-  Scenario: An instance that ends without draining first is drained at once
+  Scenario: The agent of an instance that ends without draining first drains at once
     Given an instance "one" whose report 9 has arrived
     When it reports its end
-    Then the instance drains
+    Then the instance's agent is to drain
     When a late report of "one" arrives
     Then it has no effect on the agent
 
@@ -41,17 +41,17 @@
     Then a new run starts
     When "one", started at 1000, sends report 41
     Then it has no effect on the agent
-    When "one", started at 1000, sends a late report that it is draining
+    When "one", started at 1000, reports that it is draining
     Then it has no effect on the agent
-    When "one", started at 1000, reports its end late
+    When "one", started at 1000, reports its end
     Then it has no effect on the agent
     And "one", started at 2000, is active
 
   Scenario: An instance that ended and restarted under its identifier is used again
     Guards against ignoring the identifier for good, which leaves the new run idle.
     Given an instance "one", started at 1000, whose report 9 has arrived
-    When "one", started at 1000, reports its end late
-    Then the instance drains
+    When "one", started at 1000, reports its end
+    Then the instance's agent is to drain
     When "one", started at 1000, sends report 10
     Then it has no effect on the agent
     When "one", started at 2000, sends report 1
@@ -60,7 +60,7 @@
   Scenario: A run whose first report says that it is draining ends the previous run
     Guards against leaving the previous run's agent registered, which sends calls to a draining run.
     Given an instance "one", started at 1000, whose report 9 has arrived
-    When "one", started at 2000, sends a late report that it is draining
+    When "one", started at 2000, reports that it is draining
     Then the previous run has ended and no run is active
 
   Scenario: A report without a start time belongs to the tracked run
@@ -69,7 +69,7 @@
     Then it has no effect on the agent
     And "one", started at 1000, is active
     When "one" reports its end without a start time
-    Then the instance drains
+    Then the instance's agent is to drain
 
   Scenario: An instance found by a probe is the run that reports itself
     Given an instance "one" that was found by a probe
@@ -95,4 +95,4 @@
     Then a new run starts
 
   Scenario: For reports of one identifier's runs in any order, the run that started last is tracked
-    Given any order of reports of runs, no run starts after a later one or after its end
+    Given any order of reports of runs, only the newest starts, and is active until it drains or ends
--- a/features/steps/node_report_steps.py
+++ b/features/steps/node_report_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the tracking of the instance beside a node by its reports."""
+"""Steps for tracking the instance beside a node, and for an agent whose back end has ended."""
 
 from __future__ import annotations
 
@@ -14,8 +14,7 @@
 from limelever.agent.fair_queue import QueueLimits
 from limelever.agent.interface import BackendGone, DrainFinished
 from limelever.agent.registration import RegistrationSettings
-from limelever.common.errors import ErrorKind, Outcome
-from limelever.common.errors import Failure as KnownFailure
+from limelever.common.errors import ErrorKind, Failure, Outcome
 from limelever.common.sansio import (
     Address,
     ConnectionOpened,
@@ -36,7 +35,9 @@
 from limelever.protocol.config_pb2 import CALL_KIND_ONCE_PER_ATTEMPT
 from limelever.subscriber.settings import SubscriberSettings
 
-PROPERTY = hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
+PROPERTY_SETTINGS = hypothesis_settings(
+    derandomize=True, database=None, deadline=None, max_examples=300
+)
 ADDRESS = Address("127.0.0.1", 1)
 PROXY = 1
 
@@ -45,7 +46,7 @@
     return InstanceReport(instance, "orders", sequence, draining, started_at_ms=started)
 
 
-@given("any order of reports, an instance starts once and is not active after it drained")
+@given("any order of reports, an instance starts at most once and is not active after it drained")
 def given_any_order(context):
     reports = st.tuples(
         st.sampled_from(["a", "b", "c"]),
@@ -53,7 +54,7 @@
         st.sampled_from(["ready", "draining", "ended"]),
     )
 
-    @PROPERTY
+    @PROPERTY_SETTINGS
     @examples(st.lists(reports, max_size=30))
     def check(plan):
         tracker = InstanceTracker()
@@ -110,7 +111,7 @@
     assert context.outcome is ReportOutcome.NO_CHANGE
 
 
-@then("the instance drains")
+@then("the instance's agent is to drain")
 def then_drains(context):
     assert context.outcome is ReportOutcome.INSTANCE_DRAINING
 
@@ -139,14 +140,14 @@
         context.outcome = context.tracker.handle_report(report(instance, sequence, started=started))
 
 
-@when('"{instance}", started at {started:d}, sends a late report that it is draining')
+@when('"{instance}", started at {started:d}, reports that it is draining')
 def when_run_drains(context, instance, started):
     context.outcome = context.tracker.handle_report(
         report(instance, 1, draining=True, started=started)
     )
 
 
-@when('"{instance}", started at {started:d}, reports its end late')
+@when('"{instance}", started at {started:d}, reports its end')
 def when_run_ends(context, instance, started):
     context.outcome = context.tracker.handle_end(instance, started)
 
@@ -177,7 +178,9 @@
     assert context.tracker.is_active(instance, started)
 
 
-@given("any order of reports of runs, no run starts after a later one or after its end")
+@given(
+    "any order of reports of runs, only the newest starts, and is active until it drains or ends"
+)
 def given_any_runs(context):
     reports = st.tuples(
         st.integers(1, 4),
@@ -185,7 +188,7 @@
         st.sampled_from(["ready", "draining", "ended"]),
     )
 
-    @PROPERTY
+    @PROPERTY_SETTINGS
     @examples(st.lists(reports, max_size=30))
     def check(plan):
         tracker = InstanceTracker()
@@ -246,7 +249,7 @@
         for output in context.outputs
         if isinstance(output, SendMessage) and isinstance(output.message, CallFailed)
     ]
-    outcomes = {m.stream: KnownFailure(ErrorKind(m.kind), "").outcome for m in failed}
+    outcomes = {m.stream: Failure(ErrorKind(m.kind), "").outcome for m in failed}
     assert outcomes == {1: Outcome.UNKNOWN, 2: Outcome.NOT_RUN}, outcomes
 
 
