--- a/features/steps/agent_bench.py
+++ b/features/steps/agent_harness.py
@@ -49,8 +49,8 @@
 )
 from limelever.subscriber.settings import SubscriberSettings
 
-CASES = settings(derandomize=True, max_examples=60, deadline=None, database=None)
-FAR = 1e9
+HYPOTHESIS_SETTINGS = settings(derandomize=True, max_examples=60, deadline=None, database=None)
+FAR_FUTURE_SECONDS = 1e9
 RELAYS = (Address("10.0.0.1", 1), Address("10.0.0.2", 1))
 PROXY_LINK = 1
 SHED_GROUP = "g0"
@@ -79,7 +79,7 @@
     return start
 
 
-class AgentBench:
+class AgentHarness:
     """An agent core with its shell's part played by the test."""
 
     def __init__(self, slots: int, link_rate: int = 0) -> None:
@@ -91,50 +91,50 @@
         self.core = AgentCore(options, 7, random.Random(1))
         self.now = 100.0
         self.outputs: list[Output] = []
-        self.tell(Started())
+        self.handle(Started())
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         self.outputs.extend(self.core.handle(event, self.now))
 
     def advance(self, seconds: float) -> None:
         until = self.now + seconds
         while (due := self.core.next_deadline()) is not None and due <= until:
             self.now = max(self.now, due)
-            self.tell(DeadlineReached())
+            self.handle(DeadlineReached())
         self.now = until
 
     def add_proxy(self) -> None:
-        self.tell(ConnectionOpened(PROXY_LINK, PROXY))
+        self.handle(ConnectionOpened(PROXY_LINK, PROXY))
 
     def send(self, message: object) -> None:
-        self.tell(MessageReceived(PROXY_LINK, message))  # type: ignore[arg-type]
+        self.handle(MessageReceived(PROXY_LINK, message))  # type: ignore[arg-type]
 
     def register(self) -> None:
-        self.tell(BackendProbed(True))
+        self.handle(BackendProbed(True))
         self.relay_link = next(
             output.connection
             for output in self.outputs
             if isinstance(output, OpenConnection) and output.purpose is Purpose.REGISTRATION
         )
-        self.tell(ConnectionOpened(self.relay_link, RELAY))
+        self.handle(ConnectionOpened(self.relay_link, RELAY))
         grant = LeaseGranted(lease_ms=6000, incarnation=7)
-        self.tell(MessageReceived(self.relay_link, grant))
+        self.handle(MessageReceived(self.relay_link, grant))
 
     def install(self, *resources: Resource) -> None:
-        (dial,) = (o for o in self.of(OpenConnection) if o.purpose is Purpose.SUBSCRIPTION)
+        (dial,) = (o for o in self.outputs_of(OpenConnection) if o.purpose is Purpose.SUBSCRIPTION)
         versioned = [VersionedResource(resource=resource, version=3) for resource in resources]
         digest = SetDigest.of(versioned).to_bytes()
         snapshot = ConfigSnapshot(version=3, resources=versioned, digest=digest)
-        self.tell(ConnectionOpened(dial.connection, RELAY))
-        self.tell(MessageReceived(dial.connection, snapshot))
+        self.handle(ConnectionOpened(dial.connection, RELAY))
+        self.handle(MessageReceived(dial.connection, snapshot))
         while self.core.version == 0:
             for probe in self.sent(dial.connection, FreshnessProbe):
                 answer = FreshnessAnswer(nonce=probe.nonce, version=3)
-                self.tell(MessageReceived(dial.connection, answer))
-            for write in self.of(ReplaceFile):
-                self.tell(WriteCompleted(write.token))
+                self.handle(MessageReceived(dial.connection, answer))
+            for write in self.outputs_of(ReplaceFile):
+                self.handle(WriteCompleted(write.token))
 
-    def of(self, kind: type[Output]) -> list[Output]:
+    def outputs_of(self, kind: type[Output]) -> list[Output]:
         return [output for output in self.outputs if isinstance(output, kind)]
 
     def sent(self, link: int, kind: type) -> list[object]:
@@ -142,4 +142,4 @@
         return [output.message for output in sent if isinstance(output.message, kind)]
 
     def attempt_of(self, stream: int) -> int:
-        return self.of(StartAttempt)[stream - 1].attempt  # type: ignore[attr-defined]
+        return self.outputs_of(StartAttempt)[stream - 1].attempt  # type: ignore[attr-defined]
--- a/features/steps/agent_queue_steps.py
+++ b/features/steps/agent_queue_steps.py
@@ -6,9 +6,9 @@
 import math
 from dataclasses import dataclass, field
 
-from agent_bench import (
-    CASES,
-    FAR,
+from agent_harness import (
+    FAR_FUTURE_SECONDS,
+    HYPOTHESIS_SETTINGS,
     SHED_GROUP,
 )
 from behave import given, then, when
@@ -46,7 +46,7 @@
     served: dict[str, float] = field(default_factory=dict)
     starts: list[str] = field(default_factory=list)
 
-    def offer(self, group: str, left: float = FAR, size: int = 0) -> object:
+    def offer(self, group: str, left: float = FAR_FUTURE_SECONDS, size: int = 0) -> object:
         self.last += 1
         return self.queue.offer(QueuedCall(self.last, group, self.now + left, size), self.now)
 
@@ -67,7 +67,7 @@
 def check_fairness(_context: Context) -> None:
     groups = st.lists(st.tuples(st.integers(1, 20), st.floats(0.001, 0.05)), min_size=2, max_size=5)
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(groups, st.integers(1, 6))
     def serve(drawn: list[tuple[int, float]], slots: int) -> None:
         weights = {f"g{index}": weight for index, (weight, _) in enumerate(drawn)}
@@ -94,7 +94,7 @@
 def check_work_conserving(_context: Context) -> None:
     step = st.tuples(st.sampled_from("abc"), st.booleans(), st.floats(0.0, 0.1))
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(st.lists(step, max_size=200), st.integers(1, 6))
     def serve(steps: list[tuple[str, bool, float]], slots: int) -> None:
         course = Course(make_queue({"a": 1, "b": 50}, slots=slots), slots)
--- a/features/steps/agent_registration_steps.py
+++ b/features/steps/agent_registration_steps.py
@@ -4,11 +4,11 @@
 
 import random
 
-from agent_bench import (
+from agent_harness import (
     REGISTRATION,
     RELAY,
     RELAYS,
-    AgentBench,
+    AgentHarness,
 )
 from behave import given, then, when
 from behave.runner import Context
@@ -42,11 +42,11 @@
 
 @given("an agent beside a cold back end")
 def given_cold(context: Context) -> None:
-    context.agent = AgentBench(1)
+    context.agent = AgentHarness(1)
 
 
 def registrations_dialled(context: Context) -> int:
-    dials = context.agent.of(OpenConnection)
+    dials = context.agent.outputs_of(OpenConnection)
     return sum(1 for dial in dials if dial.purpose is Purpose.REGISTRATION)
 
 
@@ -62,17 +62,17 @@
 
 @when("a health probe passes")
 def probe_passes(context: Context) -> None:
-    context.agent.tell(BackendProbed(True))
+    context.agent.handle(BackendProbed(True))
 
 
-class RegistrationBench:
+class RegistrationHarness:
     """A registration that holds a lease; the test plays its relay."""
 
     def __init__(self, lease_ms: int) -> None:
         self.part = Registration(REGISTRATION, 7, DialledConnections(), random.Random(3))
         self.now = 0.0
-        self.outputs: list[Output] = self.part.begin(self.now)
-        self.tell(ConnectionOpened(self.link, RELAY))
+        self.outputs: list[Output] = self.part.start(self.now)
+        self.handle(ConnectionOpened(self.link, RELAY))
         self.receive(LeaseGranted(lease_ms=lease_ms, incarnation=7))
         self.relay = self.part.relay
 
@@ -88,30 +88,30 @@
         sent = (output for output in self.outputs if isinstance(output, SendMessage))
         return [output.message for output in sent if isinstance(output.message, kind)]
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         self.outputs.extend(self.part.handle(event, self.now))
 
     def receive(self, message: object) -> None:
-        self.tell(MessageReceived(self.link, message))  # type: ignore[arg-type]
+        self.handle(MessageReceived(self.link, message))  # type: ignore[arg-type]
 
     def next(self) -> None:
         due = self.part.next_deadline()
         assert due is not None
         self.now = due
-        self.tell(DeadlineReached())
+        self.handle(DeadlineReached())
 
 
 @then("agents of any seed dial the first relay listed")
 def check_first_listed(context: Context) -> None:
     for seed in range(20):
         part = Registration(REGISTRATION, 7, DialledConnections(), random.Random(seed))
-        [dial] = part.begin(0.0)
+        [dial] = part.start(0.0)
         assert isinstance(dial, OpenConnection) and dial.address == RELAYS[0], dial
 
 
 @given("a registration with relays A and B that holds a lease of {seconds:d} seconds")
 def given_lease(context: Context, seconds: int) -> None:
-    context.registration = RegistrationBench(seconds * 1000)
+    context.registration = RegistrationHarness(seconds * 1000)
 
 
 @when("its next deadline comes")
@@ -127,23 +127,23 @@
 
 @when("the link to its relay closes and its next deadline comes")
 def relay_closes(context: Context) -> None:
-    bench = context.registration
-    bench.tell(ConnectionClosed(bench.link, "lost"))
-    bench.next()
+    harness = context.registration
+    harness.handle(ConnectionClosed(harness.link, "lost"))
+    harness.next()
 
 
 @when("no renewal is answered for {seconds:d} seconds")
 def relay_silent(context: Context, seconds: int) -> None:
-    bench = context.registration
-    while len(bench.dials) == 1 and bench.part.next_deadline() <= seconds:
-        bench.next()
+    harness = context.registration
+    while len(harness.dials) == 1 and harness.part.next_deadline() <= seconds:
+        harness.next()
 
 
 @then("the other relay is dialled")
 def check_other(context: Context) -> None:
-    bench = context.registration
-    assert [dial.address for dial in bench.dials][1:] == [
-        relay for relay in RELAYS if relay != bench.relay
+    harness = context.registration
+    assert [dial.address for dial in harness.dials][1:] == [
+        relay for relay in RELAYS if relay != harness.relay
     ]
 
 
@@ -165,7 +165,7 @@
 
 @then("no relay is dialled within {seconds:d} seconds and one is dialled later")
 def check_deferred(context: Context, seconds: int) -> None:
-    bench = context.registration
-    assert len(bench.dials) == 1
-    bench.next()
-    assert bench.now >= seconds and len(bench.dials) == 2
+    harness = context.registration
+    assert len(harness.dials) == 1
+    harness.next()
+    assert harness.now >= seconds and len(harness.dials) == 2
--- a/features/steps/agent_steps.py
+++ b/features/steps/agent_steps.py
@@ -4,11 +4,11 @@
 
 import random
 
-from agent_bench import (
-    CASES,
-    FAR,
+from agent_harness import (
+    FAR_FUTURE_SECONDS,
+    HYPOTHESIS_SETTINGS,
     PROXY_LINK,
-    AgentBench,
+    AgentHarness,
     call_start,
 )
 from behave import given, then, when
@@ -56,7 +56,7 @@
 
 @given("an agent of incarnation 7 with {slots:d} slots and a proxy")
 def given_agent(context: Context, slots: int) -> None:
-    context.agent = AgentBench(slots)
+    context.agent = AgentHarness(slots)
     context.agent.add_proxy()
 
 
@@ -137,7 +137,7 @@
 
 @when("the agent loses its proxy")
 def lose_proxy(context: Context) -> None:
-    context.agent.tell(ConnectionClosed(PROXY_LINK, "lost"))
+    context.agent.handle(ConnectionClosed(PROXY_LINK, "lost"))
 
 
 @when("the agent's clock moves to its next call deadline")
@@ -168,13 +168,13 @@
 def answer_bytes(context: Context, stream: int, size: int) -> None:
     attempt = context.agent.attempt_of(stream)
     context.body = random.Random(1).randbytes(size)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), context.body))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), context.body))
 
 
 @when("its attempt fails with {kind:S} and {sent:S} byte sent")
 def fail_attempt(context: Context, kind: str, sent: str) -> None:
     failure = Failure(ErrorKind(kind), "broken")
-    context.agent.tell(AttemptFailed(context.agent.attempt_of(1), failure, sent == "some"))
+    context.agent.handle(AttemptFailed(context.agent.attempt_of(1), failure, sent == "some"))
 
 
 @then("agent stream {stream:d} has failed with {kind:S}")
@@ -185,18 +185,18 @@
 
 @then("the agent's back end was asked once")
 def check_asked_once(context: Context) -> None:
-    assert len(context.agent.of(StartAttempt)) == 1
+    assert len(context.agent.outputs_of(StartAttempt)) == 1
 
 
 @then("the agent's back end was never asked")
 def check_never_asked(context: Context) -> None:
-    assert not context.agent.of(StartAttempt)
+    assert not context.agent.outputs_of(StartAttempt)
 
 
 @then("the attempt of agent stream {stream:d} is cancelled at the back end")
 @then("only the attempt of agent stream {stream:d} is cancelled")
 def check_cancelled(context: Context, stream: int) -> None:
-    cancelled = [output.attempt for output in context.agent.of(CancelAttempt)]
+    cancelled = [output.attempt for output in context.agent.outputs_of(CancelAttempt)]
     assert cancelled == [context.agent.attempt_of(stream)]
 
 
@@ -205,7 +205,7 @@
     agent = context.agent
     assert agent.core.running == 1
     cancelled = Failure(ErrorKind.CANCELLED, "cancelled")
-    agent.tell(AttemptFailed(agent.attempt_of(1), cancelled, True))
+    agent.handle(AttemptFailed(agent.attempt_of(1), cancelled, True))
     assert agent.core.running == 0
 
 
@@ -216,7 +216,7 @@
 
 @then("the attempt of agent stream {stream:d} carries {size:d} bytes")
 def check_body(context: Context, stream: int, size: int) -> None:
-    assert len(context.agent.of(StartAttempt)[stream - 1].body) == size
+    assert len(context.agent.outputs_of(StartAttempt)[stream - 1].body) == size
 
 
 def answer_parts(context: Context) -> list[ResponseStart | ResponseBody]:
@@ -257,7 +257,7 @@
 
 @then("the agent's drain has not finished")
 def check_not_drained(context: Context) -> None:
-    assert not context.agent.of(DrainFinished)
+    assert not context.agent.outputs_of(DrainFinished)
 
 
 @then("the proxy of agent stream {stream:d} was told when to come back")
@@ -274,7 +274,7 @@
         st.booleans(),
     )
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(st.lists(operation, max_size=120))
     def run(operations: list[tuple[str, int, bool]]) -> None:
         course = CallCourse()
@@ -315,11 +315,15 @@
                 self.take(self.service.cancel(PROXY_LINK, CallCancel(stream=stream)))
             case "answer" if self.running:
                 attempt = self.end_one(number)
-                self.take(self.service.answered(AttemptAnswered(attempt, 200, (), b""), self.now))
+                self.take(
+                    self.service.attempt_answered(AttemptAnswered(attempt, 200, (), b""), self.now)
+                )
             case "fail" if self.running:
                 attempt = self.end_one(number)
                 failure = Failure(ErrorKind.CONNECTION_FAILED, "broken")
-                self.take(self.service.failed(AttemptFailed(attempt, failure, True), self.now))
+                self.take(
+                    self.service.attempt_failed(AttemptFailed(attempt, failure, True), self.now)
+                )
             case "wait":
                 self.now += number / 20
 
@@ -345,7 +349,7 @@
     def check(self) -> None:
         while self.running:
             self.step("answer", 0, False)
-        self.take(self.service.expire(self.now + FAR))
+        self.take(self.service.expire(self.now + FAR_FUTURE_SECONDS))
         for stream in range(1, self.streams + 1):
             messages = [m for m in self.final.get(stream, []) if not is_resend_answer(m)]
             assert len(messages) == 1, (stream, messages)
@@ -378,12 +382,12 @@
         agent.send(call_start(stream, group=group, deadline_left_ms=900_000))
     for index in range(rounds):
         agent.now += 0.02
-        agent.tell(AttemptAnswered(agent.attempt_of(index + 1), 200, (), b""))
+        agent.handle(AttemptAnswered(agent.attempt_of(index + 1), 200, (), b""))
 
 
 @then("group {group:S} had about {part:d} of {whole:d} attempts")
 def check_part(context: Context, group: str, part: int, whole: int) -> None:
-    starts = context.agent.of(StartAttempt)
+    starts = context.agent.outputs_of(StartAttempt)
     parity = ("web", "batch").index(group)
     had = sum(1 for start in starts if int(start.target) % 2 == parity)
     assert abs(had - len(starts) * part / whole) <= 2, (had, len(starts))
@@ -391,7 +395,7 @@
 
 @when("the agent is asked to drain")
 def ask_drain(context: Context) -> None:
-    context.agent.tell(DrainRequested())
+    context.agent.handle(DrainRequested())
 
 
 @then("the relay hears that the agent is draining")
@@ -414,4 +418,4 @@
 
 @then("the drain has finished with {count:d} calls cut off")
 def check_drained(context: Context, count: int) -> None:
-    assert [output.cut_off for output in context.agent.of(DrainFinished)] == [count]
+    assert [output.cut_off for output in context.agent.outputs_of(DrainFinished)] == [count]
--- a/features/steps/answer_link_steps.py
+++ b/features/steps/answer_link_steps.py
@@ -4,7 +4,7 @@
 
 from itertools import pairwise
 
-from agent_bench import PROXY_LINK, AgentBench, call_start
+from agent_harness import PROXY_LINK, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -157,7 +157,7 @@
 @when("the back end answers agent stream {stream:d} with {size:d} bytes")
 def answered(context: Context, stream: int, size: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), bytes(size)))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), bytes(size)))
 
 
 @when("the agent's time goes on by {seconds:g} seconds")
@@ -165,7 +165,7 @@
     context.agent.advance(seconds)
 
 
-def body_of(agent: AgentBench, stream: int) -> tuple[int, list[bool]]:
+def body_of(agent: AgentHarness, stream: int) -> tuple[int, list[bool]]:
     """Return how many bytes of an answer's body were sent, and which messages were the last."""
     heads = [head for head in agent.sent(PROXY_LINK, ResponseStart) if head.stream == stream]
     assert len(heads) == 1, heads
@@ -195,7 +195,7 @@
 
 @then("agent stream {stream:d} was never handed to the back end")
 def never_handed(context: Context, stream: int) -> None:
-    targets = [attempt.target for attempt in context.agent.of(StartAttempt)]
+    targets = [attempt.target for attempt in context.agent.outputs_of(StartAttempt)]
     assert str(stream).encode() not in targets, targets
 
 
--- a/features/steps/back_end_ends_steps.py
+++ b/features/steps/back_end_crash_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK, AgentBench
+from agent_harness import PROXY_LINK, AgentHarness
 from behave import then, when
 from behave.runner import Context
 
@@ -10,8 +10,8 @@
     AttemptFailed,
     BackendChecked,
     BackendGone,
-    BackendReach,
     CheckBackend,
+    ConnectResult,
     DrainRequested,
 )
 from limelever.common.errors import ErrorKind, Failure
@@ -34,14 +34,14 @@
 LONGEST_PAUSE = 30.0
 
 
-def end_connection(bench: AgentBench, stream: int) -> None:
-    attempt = bench.attempt_of(stream)
-    bench.tell(AttemptFailed(attempt, BROKEN, sent_any_byte=True, connection_ended=True))
+def end_connection(agent: AgentHarness, stream: int) -> None:
+    attempt = agent.attempt_of(stream)
+    agent.handle(AttemptFailed(attempt, BROKEN, sent_any_byte=True, connection_ended=True))
 
 
-def told(bench: AgentBench) -> list[Suspect]:
+def told(agent: AgentHarness) -> list[Suspect]:
     """Return what relays were told, on whatever link."""
-    sent = [output.message for output in bench.of(SendMessage)]
+    sent = [output.message for output in agent.outputs_of(SendMessage)]
     return [each for news in sent if isinstance(news, CrashNews) for each in news.suspects]
 
 
@@ -62,68 +62,68 @@
 
 @when("no connection opens for agent stream {stream:d}")
 def none_opens_for(context: Context, stream: int) -> None:
-    bench: AgentBench = context.agent
+    agent: AgentHarness = context.agent
     refused = Failure(ErrorKind.BACKEND_FAILED, "connection did not open")
-    bench.tell(AttemptFailed(bench.attempt_of(stream), refused, sent_any_byte=False))
+    agent.handle(AttemptFailed(agent.attempt_of(stream), refused, sent_any_byte=False))
 
 
 @when("a connection to the agent's back end is refused")
 def is_refused(context: Context) -> None:
-    context.agent.tell(BackendChecked(BackendReach.REFUSED))
+    context.agent.handle(BackendChecked(ConnectResult.REFUSED))
 
 
 @when("connections to the agent's back end are refused for {seconds:g} seconds")
 def are_refused(context: Context, seconds: float) -> None:
-    bench: AgentBench = context.agent
-    end, answered = bench.now + seconds, 0
-    while bench.now < end:
-        while answered < len(bench.of(CheckBackend)):
+    agent: AgentHarness = context.agent
+    end, answered = agent.now + seconds, 0
+    while agent.now < end:
+        while answered < len(agent.outputs_of(CheckBackend)):
             answered += 1
             is_refused(context)
-        bench.advance(0.01)
+        agent.advance(0.01)
 
 
 @when("the proxy cancels agent stream {stream:d}, which its back end has begun")
 def is_cancelled(context: Context, stream: int) -> None:
-    bench: AgentBench = context.agent
-    bench.tell(MessageReceived(PROXY_LINK, CallCancel(stream=stream)))
+    agent: AgentHarness = context.agent
+    agent.handle(MessageReceived(PROXY_LINK, CallCancel(stream=stream)))
     cancelled = Failure(ErrorKind.CANCELLED, "cancelled")
-    bench.tell(AttemptFailed(bench.attempt_of(stream), cancelled, sent_any_byte=True))
+    agent.handle(AttemptFailed(agent.attempt_of(stream), cancelled, sent_any_byte=True))
 
 
 @when("the agent begins to drain")
 def begins_to_drain(context: Context) -> None:
-    context.agent.tell(DrainRequested())
+    context.agent.handle(DrainRequested())
 
 
 @when("another process reports itself to the agent")
 def is_replaced(context: Context) -> None:
-    context.agent.tell(BackendGone())
+    context.agent.handle(BackendGone())
 
 
 @when("the agent's relay link is lost")
 def relay_lost(context: Context) -> None:
-    context.agent.tell(ConnectionClosed(context.agent.relay_link, "lost"))
+    context.agent.handle(ConnectionClosed(context.agent.relay_link, "lost"))
 
 
 @when("the agent is registered again")
 def registered_again(context: Context) -> None:
-    bench: AgentBench = context.agent
-    before = len(bench.of(OpenConnection))
-    while len(bench.of(OpenConnection)) == before:
-        bench.advance(1.0)
-    link = bench.of(OpenConnection)[-1].connection
-    bench.tell(ConnectionOpened(link, RELAY))
-    bench.tell(MessageReceived(link, LeaseGranted(lease_ms=6000, incarnation=7)))
+    agent: AgentHarness = context.agent
+    before = len(agent.outputs_of(OpenConnection))
+    while len(agent.outputs_of(OpenConnection)) == before:
+        agent.advance(1.0)
+    link = agent.outputs_of(OpenConnection)[-1].connection
+    agent.handle(ConnectionOpened(link, RELAY))
+    agent.handle(MessageReceived(link, LeaseGranted(lease_ms=6000, incarnation=7)))
 
 
 @then("both were told one crash, and the relay was told it with both requests")
 def both_told(context: Context) -> None:
-    bench: AgentBench = context.agent
-    failed = bench.sent(PROXY_LINK, CallFailed)
+    agent: AgentHarness = context.agent
+    failed = agent.sent(PROXY_LINK, CallFailed)
     crashes = {each.crash for each in failed if each.kind == ErrorKind.BACKEND_CRASHED.value}
     assert len(crashes) == 1 and 0 not in crashes, failed
-    suspects = told(bench)
+    suspects = told(agent)
     assert {each.request for each in suspects} == {request_of(2), request_of(3)}, suspects
     assert all(set(each.crashes) == crashes for each in suspects), suspects
 
--- a/features/steps/body_credit_steps.py
+++ b/features/steps/body_credit_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK, AgentBench, call_start
+from agent_harness import PROXY_LINK, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -116,7 +116,7 @@
 
 @given("an agent on a link of {rate:d} bytes a second and a proxy")
 def given_agent(context: Context, rate: int) -> None:
-    context.agent = AgentBench(1, link_rate=rate)
+    context.agent = AgentHarness(1, link_rate=rate)
     context.agent.add_proxy()
 
 
--- a/features/steps/crash_news_steps.py
+++ b/features/steps/crash_news_steps.py
@@ -9,7 +9,7 @@
 
 @when('the agent "{name}" tells of crash {crash:d}')
 def step_tell(context, name, crash):
-    context.agents[name].tell_crash(REQUEST, crash)
+    context.agents[name].report_crash(REQUEST, crash)
 
 
 @then('the proxies "{names}" know {count:d} crashes of the request')
--- a/features/steps/health_answer_steps.py
+++ b/features/steps/health_response_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then
 
-from limelever.agent.health_answer import FoundInstance, instance_in
+from limelever.agent.health_response import InstanceIdentity, parse_instance_identity
 from limelever.common.http_headers import HeaderNames
 from limelever.common.http_messages import HttpAnswer
 
@@ -27,11 +27,11 @@
 @then("a health answer {what} names {instance} with {slots:d} slots")
 def names_instance(context, what, instance, slots):
     status, headers = ANSWERS[what]
-    found = instance_in(HttpAnswer(status, headers, b""), NAMES)
-    assert found == FoundInstance(instance, slots), found
+    found = parse_instance_identity(HttpAnswer(status, headers, b""), NAMES)
+    assert found == InstanceIdentity(instance, slots), found
 
 
 @then("a health answer {what} names nobody")
 def names_nobody(context, what):
     status, headers = ANSWERS[what]
-    assert instance_in(HttpAnswer(status, headers, b""), NAMES) is None
+    assert parse_instance_identity(HttpAnswer(status, headers, b""), NAMES) is None
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import AgentBench
+from agent_harness import AgentHarness
 from behave import given, then, when
 from behave.runner import Context
 from relay_steps import ZONES, agent, start_proxy
@@ -60,8 +60,8 @@
 @then('the agent has reported the loads "{loads}"')
 @then('the agent has reported the loads ""')
 def has_reported(context: Context, loads: str = "") -> None:
-    bench: AgentBench = context.agent
-    sent = [output.message for output in bench.of(SendMessage)]
+    bench: AgentHarness = context.agent
+    sent = [output.message for output in bench.outputs_of(SendMessage)]
     reports = [message.load for message in sent if isinstance(message, LoadReport)]
     assert reports == numbers(loads), reports
 
--- a/features/steps/relay_region_steps.py
+++ b/features/steps/relay_region_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from distribution_harness import Mesh, build, resource
-from registered_agent import RENEWAL_INTERVAL, STATES, Agent
+from scripted_agent import RENEWAL_INTERVAL, STATES, ScriptedAgent
 
 from limelever.protocol.distribution_pb2 import ConfigSnapshot
 from limelever.relay.sealing import SnapshotSealer
@@ -84,7 +84,7 @@
 @given("a region agent in each zone")
 def step_region_agents(context):
     for zone in context.proxies:
-        one = Agent(context.mesh, f"agent-{zone}", 1)
+        one = ScriptedAgent(context.mesh, f"agent-{zone}", 1)
         one.register(f"relay-{zone}", zone, 1)
         context.agents[one.name] = one
         context.agent_states[one.name] = "ready"
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import given as examples
 from hypothesis import settings
 from hypothesis import strategies as st
-from registered_agent import RENEWAL_INTERVAL, STATES, Agent
+from scripted_agent import RENEWAL_INTERVAL, STATES, ScriptedAgent
 
 from limelever.common.errors import Failure
 from limelever.common.sansio import OpenConnection, Purpose, Role, SendMessage
@@ -48,7 +48,7 @@
 
 def agent(context, name):
     if name not in context.agents:
-        context.agents[name] = Agent(context.mesh, name, 0)
+        context.agents[name] = ScriptedAgent(context.mesh, name, 0)
     return context.agents[name]
 
 
@@ -152,7 +152,7 @@
 
 @when('{count:d} agents register at "{relay}" at once')
 def step_many_agents(context, count, relay):
-    moved = [Agent(context.mesh, f"many-{number}", 1) for number in range(count)]
+    moved = [ScriptedAgent(context.mesh, f"many-{number}", 1) for number in range(count)]
     for one in moved:
         dial = OpenConnection(2, context.mesh.network.address(relay), Purpose.REGISTRATION)
         context.mesh.network.carry_out(one.name, [dial])
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from limelever.agent.version_tally import VersionCount
+from limelever.agent.version_outcomes import VersionOutcomeCounter
 from limelever.common.sansio import Address
 from limelever.protocol.config_pb2 import (
     CALL_KIND_REPEATABLE,
@@ -330,35 +330,35 @@
 
 @given('an agent\'s count of version "v2" whose back end is cold for {seconds:d} seconds')
 def given_count(context, seconds):
-    context.count = VersionCount("orders", "one", "")
-    context.count.take_version("v2", float(seconds), 0.0)
+    context.count = VersionOutcomeCounter("orders", "one", "")
+    context.count.set_version("v2", float(seconds), 0.0)
 
 
 @when("a rollout runs and calls end at 1, 4 and 4.1 seconds")
 def when_counted(context):
-    context.count.follow(Rollout(state=ROLLOUT_STATE_RUNNING, ordered_at_ms=7))
+    context.count.track_rollout(Rollout(state=ROLLOUT_STATE_RUNNING, ordered_at_ms=7))
     for now in (1.0, 4.0, 4.1):
-        context.count.ended("one", 0.5, False, now)
+        context.count.record_call("one", 0.5, False, now)
 
 
 @then("2 calls are told, and nothing more until another ends")
 def then_told(context):
-    told = context.count.take_news(5.0)
+    told = context.count.take_report(5.0)
     assert (answers_in(told), told.version, told.rollout) == (2, "v2", 7), told
-    assert context.count.take_news(6.0) is None
-    context.count.ended("one", 0.5, False, 7.0)
-    assert answers_in(context.count.take_news(7.0)) == 3
+    assert context.count.take_report(6.0) is None
+    context.count.record_call("one", 0.5, False, 7.0)
+    assert answers_in(context.count.take_report(7.0)) == 3
 
 
 @when("the rollout is over")
 def when_over(context):
-    context.count.follow(Rollout(state=ROLLOUT_STATE_COMPLETED, ordered_at_ms=7))
+    context.count.track_rollout(Rollout(state=ROLLOUT_STATE_COMPLETED, ordered_at_ms=7))
 
 
 @then("calls that end are not counted")
 def then_not_counted(context):
-    context.count.ended("one", 0.5, False, 9.0)
-    assert context.count.take_news(9.0) is None
+    context.count.record_call("one", 0.5, False, 9.0)
+    assert context.count.take_report(9.0) is None
 
 
 @given("a relay's board with another relay listening")
--- a/features/steps/registered_agent.py
+++ b/features/steps/scripted_agent.py
@@ -23,7 +23,7 @@
 RENEWAL_INTERVAL = 2.0
 
 
-class Agent:
+class ScriptedAgent:
     """Registers at a relay and renews when told."""
 
     def __init__(self, mesh, name, incarnation):
@@ -64,7 +64,7 @@
         )
         self._send(renewal)
 
-    def tell_crash(self, request, crash):
+    def report_crash(self, request, crash):
         evidence = Evidence()
         evidence.crashed((Suspected(request, crash - 1),), crash, 0.0)
         self._send(evidence.news((request.request,), 0.0))
--- a/features/steps/shared_configuration_steps.py
+++ b/features/steps/shared_configuration_steps.py
@@ -4,7 +4,7 @@
 
 import random
 
-from agent_bench import PROXY, PROXY_LINK, RELAY, call_start
+from agent_harness import PROXY, PROXY_LINK, RELAY, call_start
 from behave import given, then, when
 from behave.runner import Context
 
--- a/features/steps/tenant_turns_steps.py
+++ b/features/steps/tenant_turns_steps.py
@@ -7,7 +7,7 @@
 import random
 from collections import Counter
 
-from agent_bench import CASES, PROXY_LINK, call_start
+from agent_harness import HYPOTHESIS_SETTINGS, PROXY_LINK, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -125,7 +125,7 @@
 def check_rates(_context: Context) -> None:
     rates = st.lists(st.floats(0.1, 50.0), min_size=2, max_size=6)
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(rates, st.integers(1, 200))
     def serve(drawn: list[float], starts: int) -> None:
         named = {f"t{index}": rate for index, rate in enumerate(drawn)}
@@ -251,7 +251,7 @@
     for index in range(rounds):
         attempts = [output for output in outputs if isinstance(output, StartAttempt)]
         answer = AttemptAnswered(attempts[index].attempt, 200, (), b"")
-        outputs += service.answered(answer, 0.02 * (index + 1))
+        outputs += service.attempt_answered(answer, 0.02 * (index + 1))
     context.starts = [output for output in outputs if isinstance(output, StartAttempt)]
 
 
--- a/features/steps/turned_away_steps.py
+++ b/features/steps/turned_away_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK
+from agent_harness import PROXY_LINK
 from behave import then, when
 from behave.runner import Context
 
@@ -16,7 +16,7 @@
 @when("the back end turns agent stream {stream:d} away")
 def turn_away(context: Context, stream: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
+    context.agent.handle(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
 
 
 def told_ms(context: Context, stream: int) -> int:
--- a/features/steps/uneven_instances_steps.py
+++ b/features/steps/uneven_instances_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK
+from agent_harness import PROXY_LINK
 from balancing_steps import SERVICE, balancer_of, view_of
 from behave import given, then, when
 from behave.runner import Context
@@ -40,13 +40,13 @@
 @when("the back end answers agent stream {stream:d} at a pace of {pace:d}")
 def answers_at(context: Context, stream: int, pace: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), b"", pace))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), b"", pace))
 
 
 @then('the agent has told its relay the paces "{paces}"')
 @then('the agent has told its relay the paces ""')
 def has_told(context: Context, paces: str = "") -> None:
-    sent = [output.message for output in context.agent.of(SendMessage)]
+    sent = [output.message for output in context.agent.outputs_of(SendMessage)]
     told = [message.pace_permille for message in sent if isinstance(message, LoadReport)]
     assert told == [int(each) for each in paces.split(", ") if each], told
 
--- a/features/steps/silence_steps.py
+++ b/features/steps/unresponsive_back_end_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import trio
-from agent_bench import PROXY_LINK, AgentBench, call_start
+from agent_harness import PROXY_LINK, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 
@@ -15,8 +15,8 @@
 from limelever.agent.interface import (
     AttemptAnswered,
     BackendChecked,
-    BackendReach,
     CheckBackend,
+    ConnectResult,
     StartAttempt,
 )
 from limelever.agent.settings import BackendSettings
@@ -30,10 +30,10 @@
 
 @given("the agent's back end has answered a call after {seconds:g} seconds")
 def given_answered(context: Context, seconds: float) -> None:
-    bench: AgentBench = context.agent
-    bench.send(call_start(1))
-    bench.advance(seconds)
-    bench.tell(AttemptAnswered(bench.attempt_of(1), 200, (), b""))
+    agent: AgentHarness = context.agent
+    agent.send(call_start(1))
+    agent.advance(seconds)
+    agent.handle(AttemptAnswered(agent.attempt_of(1), 200, (), b""))
 
 
 @when("the agent gets an at-most-once call on agent stream {stream:d}")
@@ -43,35 +43,37 @@
 
 @then("the agent has tried {count:d} connections")
 def has_tried(context: Context, count: int) -> None:
-    assert len(context.agent.of(CheckBackend)) == count, context.agent.of(CheckBackend)
+    assert len(context.agent.outputs_of(CheckBackend)) == count, context.agent.outputs_of(
+        CheckBackend
+    )
 
 
 @when("no connection to the agent's back end opens")
 def none_opens(context: Context) -> None:
-    context.agent.tell(BackendChecked(BackendReach.SILENT))
+    context.agent.handle(BackendChecked(ConnectResult.TIMED_OUT))
 
 
 @when("a connection to the agent's back end opens")
 def one_opens(context: Context) -> None:
-    context.agent.tell(BackendChecked(BackendReach.OPENED))
+    context.agent.handle(BackendChecked(ConnectResult.OPENED))
 
 
 @then("agent stream {stream:d} has no answer yet")
 def no_answer(context: Context, stream: int) -> None:
-    bench: AgentBench = context.agent
-    ends = [*bench.sent(PROXY_LINK, CallFailed), *bench.sent(PROXY_LINK, ResponseStart)]
+    agent: AgentHarness = context.agent
+    ends = [*agent.sent(PROXY_LINK, CallFailed), *agent.sent(PROXY_LINK, ResponseStart)]
     assert stream not in [end.stream for end in ends], ends
 
 
 @then("the agent's back end has been asked for agent stream {stream:d}")
 def has_asked(context: Context, stream: int) -> None:
-    targets = [start.target for start in context.agent.of(StartAttempt)]
+    targets = [start.target for start in context.agent.outputs_of(StartAttempt)]
     assert str(stream).encode() in targets, targets
 
 
 @then("the last load that the agent reported is {load:d}")
 def last_load(context: Context, load: int) -> None:
-    sent = [output.message for output in context.agent.of(SendMessage)]
+    sent = [output.message for output in context.agent.outputs_of(SendMessage)]
     reports = [message for message in sent if isinstance(message, LoadReport)]
     assert reports[-1].load == load, reports
 
@@ -107,8 +109,8 @@
     reached = trio.run(try_new, context.backend_address)
     for held in context.held_sockets:
         held.close()
-    assert (reached is not BackendReach.SILENT) is (there == "there")
-    assert (reached is BackendReach.REFUSED) is refused, reached
+    assert (reached is not ConnectResult.TIMED_OUT) is (there == "there")
+    assert (reached is ConnectResult.REFUSED) is refused, reached
 
 
 @then(
@@ -122,7 +124,7 @@
         await trio.lowlevel.checkpoint()
         time.sleep(seconds)
 
-    async def play() -> BackendReach:
+    async def play() -> ConnectResult:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(hold_up)
             return await try_new(context.backend_address)
@@ -130,10 +132,10 @@
     reached = trio.run(play)
     for held in context.held_sockets:
         held.close()
-    assert reached is BackendReach.OPENED, reached
+    assert reached is ConnectResult.OPENED, reached
 
 
-async def try_new(address: Address) -> BackendReach:
+async def try_new(address: Address) -> ConnectResult:
     connections = BackendConnections(BackendSettings(address=address))
     try:
         return await connections.try_new(CHECK_SECONDS)
--- a/src/limelever/agent/__init__.py
+++ b/src/limelever/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent beside a back end: registration, slots and fair shares."""
+"""The agent: a sidecar that registers one back end instance and queues calls to it."""
--- a/src/limelever/agent/answer_sender.py
+++ b/src/limelever/agent/answer_sender.py
@@ -14,7 +14,7 @@
 from google.protobuf.message import Message
 from msgspec import Struct
 
-from limelever.agent import answers
+from limelever.agent import call_messages
 from limelever.agent.answer_link import AnswerLink
 from limelever.agent.calls import Call
 from limelever.agent.interface import AttemptAnswered
@@ -78,12 +78,14 @@
     ) -> list[Output]:
         """Return what may be sent of an answer now, and keep the rest."""
         paced = self._link.is_paced(len(answer.body))
-        part_bytes = 0 if paced else answers.FIRST_PART_BYTES
+        part_bytes = 0 if paced else call_messages.FIRST_PART_BYTES
         rest = memoryview(answer.body)[part_bytes:]
         if self._pending_bytes + len(rest) > self._limit:
             failure = Failure(ErrorKind.BACKEND_FAILED, "answers that proxies do not take in")
-            return [SendMessage(call.connection, answers.call_failed(call.start, failure, load))]
-        message = answers.first_part(call.start, answer, load, part_bytes)
+            return [
+                SendMessage(call.connection, call_messages.call_failed(call.start, failure, load))
+            ]
+        message = call_messages.first_part(call.start, answer, load, part_bytes)
         first = SendMessage(call.connection, message)
         self._link.sent_at_once(HEAD_BYTES + len(message.body), now)
         if not rest:
@@ -95,7 +97,7 @@
             return [first, *self._parts(pending)]
         pending.turn = call.number
         self._by_turn[call.number] = pending
-        allowed = answers.FIRST_PART_BYTES + WINDOW_BYTES
+        allowed = call_messages.FIRST_PART_BYTES + WINDOW_BYTES
         self._link.add(call.number, len(rest), allowed, call.target)
         return [first]
 
@@ -152,7 +154,7 @@
         return [
             SendMessage(
                 each.connection,
-                answers.call_failed(each.start, failure, load_of(each.start.group)),
+                call_messages.call_failed(each.start, failure, load_of(each.start.group)),
             )
             for each in late
         ]
--- a/src/limelever/agent/backend.py
+++ b/src/limelever/agent/backend.py
@@ -11,7 +11,7 @@
 from limelever.agent.answer_reader import AnswerReader
 from limelever.agent.connections import BackendConnection, BackendConnections, keep_alive_seconds
 from limelever.agent.headers import encode_request, request_headers
-from limelever.agent.health_answer import FoundInstance, instance_in
+from limelever.agent.health_response import InstanceIdentity, parse_instance_identity
 from limelever.agent.interface import (
     AttemptAnswered,
     AttemptFailed,
@@ -100,10 +100,10 @@
         answer = await self._ask(path, timeout)
         return answer is not None and 200 <= answer.status < 300
 
-    async def find_instance(self, path: str, timeout: float) -> FoundInstance | None:
+    async def find_instance(self, path: str, timeout: float) -> InstanceIdentity | None:
         """Return the instance that answers a health probe, if it is well and names itself."""
         answer = await self._ask(path, timeout)
-        return instance_in(answer, self._names) if answer is not None else None
+        return parse_instance_identity(answer, self._names) if answer is not None else None
 
     def close(self) -> None:
         """Close the connections that no attempt uses."""
--- a/src/limelever/agent/backend_watch.py
+++ b/src/limelever/agent/backend_watch.py
@@ -8,11 +8,11 @@
 
 from msgspec import Struct
 
-from limelever.agent.answers import NO_CRASH
+from limelever.agent.call_messages import NO_CRASH
 from limelever.agent.calls import Call
-from limelever.agent.crash_watch import CrashWatch, Finding, HeldCall
-from limelever.agent.interface import AttemptFailed, BackendReach, CheckBackend
-from limelever.agent.silence import BackendSilence
+from limelever.agent.crash_detector import CrashDetector, HeldCall, ProcessState
+from limelever.agent.interface import AttemptFailed, CheckBackend, ConnectResult
+from limelever.agent.liveness import LivenessMonitor
 from limelever.common.deadlines import earliest
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.endpoints_pb2 import CrashNews
@@ -47,15 +47,15 @@
 
     def __init__(self, generator: random.Random) -> None:
         self._generator = generator
-        self._silence = BackendSilence()
-        self._crashes = CrashWatch()
+        self._silence = LivenessMonitor()
+        self._crashes = CrashDetector()
         self._news: list[CrashNews] = []
         self.serves_until = math.inf
 
     @property
     def silent(self) -> bool:
         """Return whether nobody answers there, so that calls go elsewhere."""
-        return self._silence.silent
+        return self._silence.unresponsive
 
     @property
     def undecided(self) -> bool:
@@ -64,45 +64,45 @@
 
     def started(self, call: int, service_time: float, now: float) -> None:
         """Take a call that was handed over; ``service_time`` is 0 if not known."""
-        self._silence.started(call, service_time, now)
+        self._silence.call_started(call, service_time, now)
 
     def answered(self, call: int) -> None:
         """Take a call that was answered."""
-        self._silence.ended(call, answered=True)
+        self._silence.call_ended(call, answered=True)
 
     def failed(self, event: AttemptFailed, failure: Failure, call: Call, now: float) -> bool:
         """Take a call that was not answered; return whether its proxy has to wait for the reason.
 
         A connection that ended may be the end of the process: :meth:`checked` gives the call back.
         """
-        self._silence.ended(event.attempt, answered=event.refused)
+        self._silence.call_ended(event.attempt, answered=event.refused)
         if event.connection_ended:
-            self._crashes.lost(HeldCall(event.attempt, failure), call.suspected(), now)
+            self._crashes.connection_lost(HeldCall(event.attempt, failure), call.as_suspect(), now)
         elif not event.sent_any_byte and event.failure.kind is ErrorKind.BACKEND_FAILED:
-            self._crashes.not_opened(now)
+            self._crashes.connect_failed(now)
         elif failure.kind in _ENDED_FROM_HERE:
-            self._crashes.given_up(call.suspected(), now)
+            self._crashes.call_abandoned(call.as_suspect(), now)
         return event.connection_ended
 
     def take_check(self, now: float) -> list[CheckBackend]:
         """Return the try of a connection that is wanted now, if one is."""
-        silenced, broken = self._silence.take_check(now), self._crashes.take_check(now)
+        silenced, broken = self._silence.start_check(now), self._crashes.start_check(now)
         return [CheckBackend(close_idle=silenced)] if silenced or broken else []
 
-    def checked(self, reach: BackendReach, running: int, now: float) -> Seen:
+    def checked(self, reach: ConnectResult, running: int, now: float) -> Seen:
         """Take what became of a new connection while this many calls still run."""
-        finding = self._crashes.checked(reach, running, now)
-        ended = finding is Finding.ENDED and now < self.serves_until
+        finding = self._crashes.check_finished(reach, running, now)
+        ended = finding is ProcessState.EXITED and now < self.serves_until
         suspects = self._crashes.take_suspects(self._crashes.suspects_since) if ended else ()
         crash = self._report(suspects, now) if suspects else NO_CRASH
-        was_silent = self._silence.silent
+        was_silent = self._silence.unresponsive
         fell_silent = ended and not was_silent and not crash
         if ended:
-            self._silence.process_ended(now)
+            self._silence.process_exited(now)
         if self._silence.checking:
-            fell_silent = self._silence.checked(reach, now) or fell_silent
-        is_back = was_silent and not self._silence.silent
-        held = () if finding is Finding.UNDECIDED else tuple(self._crashes.take_held())
+            fell_silent = self._silence.check_finished(reach, now) or fell_silent
+        is_back = was_silent and not self._silence.unresponsive
+        held = () if finding is ProcessState.UNDECIDED else tuple(self._crashes.take_held())
         return Seen(held, crash, suspects, fell_silent, is_back)
 
     def replaced(self, now: float) -> None:
--- a/src/limelever/agent/answers.py
+++ b/src/limelever/agent/call_messages.py
@@ -1,4 +1,4 @@
-"""The messages with which an agent answers a proxy's calls."""
+"""Builds the messages with which an agent answers calls, and classifies failed attempts."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 )
 
 FIRST_PART_BYTES = 256 * 1024
-"""Bodies up to this size travel within the first message."""
+"""Response bodies up to this size are sent within ``ResponseStart``."""
 
 NO_CRASH = 0
-"""In place of a crash's number: the back end's process goes on, or nothing is known of it."""
+"""Crash number of a failure that is not known to be caused by a crash."""
 
-_MILLISECONDS = 1000
+_MILLISECONDS_PER_SECOND = 1000
 
 
 def call_failed(
     start: CallStart, failure: Failure, load: AgentLoad, crash: int = NO_CRASH
 ) -> CallFailed:
-    """Return the refusal or failure of a call, and the crash that it may have caused."""
+    """Return the message for a refused or failed call, with the crash it may have caused."""
     return CallFailed(
         stream=start.stream,
         attempt_id=start.attempt_id,
         kind=failure.kind.value,
         reason=failure.reason,
-        retry_after_ms=round(failure.retry_after * _MILLISECONDS),
+        retry_after_ms=round(failure.retry_after * _MILLISECONDS_PER_SECOND),
         load=load,
         crash=crash,
     )
@@ -41,7 +41,7 @@
     load: AgentLoad,
     part_bytes: int = FIRST_PART_BYTES,
 ) -> ResponseStart:
-    """Return the first message of a back end's whole answer; a short one is within it."""
+    """Return the first message of a response; a short body is included completely."""
     message = ResponseStart(
         stream=start.stream,
         attempt_id=start.attempt_id,
@@ -56,10 +56,10 @@
 
 
 def attempt_failure(event: AttemptFailed) -> Failure:
-    """Return the failure that says truly whether the attempt ran.
+    """Return the attempt's failure, corrected so that its outcome is accurate.
 
-    The back end's own refusal is believed. No byte sent: NOT RUN, whatever went wrong. Otherwise
-    nothing that claims NOT RUN may pass.
+    A refusal by the back end itself is kept as it is. If no byte was sent, the outcome is NOT RUN
+    whatever went wrong. Otherwise the outcome is never NOT RUN.
     """
     failure = event.failure
     if event.refused:
--- a/src/limelever/agent/replies.py
+++ b/src/limelever/agent/call_reporter.py
@@ -1,10 +1,10 @@
-"""What an agent tells proxies besides answers (refusals, failures, load), and its log lines."""
+"""Reports refused and failed calls and the load to proxies, and logs calls."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from limelever.agent import answers, events
+from limelever.agent import call_messages, events
 from limelever.agent.calls import Call
 from limelever.agent.fair_queue import FairQueue
 from limelever.agent.pace import Pace
@@ -15,13 +15,13 @@
 from limelever.quarantine.evidence import Suspected
 from limelever.quarantine.fingerprint import digest_text
 
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 _MICROSECONDS_PER_MILLISECOND = 1000
-_MILLISECONDS = 1000
+_MILLISECONDS_PER_SECOND = 1000
 
 
-class Replies:
-    """Builds them from the state of the queue; ``now`` is the time of the event under way."""
+class CallReporter:
+    """Builds reports from the state of the queue; ``now`` is the time of the current event."""
 
     def __init__(self, queue: FairQueue, slots: int, log: DecisionLogSettings) -> None:
         self._queue = queue
@@ -31,27 +31,27 @@
         self.draining = False
         self.now = 0.0
 
-    def load(self, group: str) -> AgentLoad:
-        """Return the load as sent with the answer to a call of a group."""
+    def agent_load(self, group: str) -> AgentLoad:
+        """Return the load that is sent with the answer to a call of a group."""
         return AgentLoad(
             in_flight=self._queue.running,
             queued=self._queue.queued,
             slots=self._slots,
             draining=self.draining,
-            service_us=int(self._queue.service_time * _MICROSECONDS),
-            route_service_us=int(self._queue.service_time_of(group) * _MICROSECONDS),
+            service_us=int(self._queue.service_time * _MICROSECONDS_PER_SECOND),
+            route_service_us=int(self._queue.service_time_of(group) * _MICROSECONDS_PER_SECOND),
             pace_permille=self.pace.now(self.now),
         )
 
-    def failed(
+    def call_failed(
         self,
         connection: ConnectionId,
         start: CallStart,
         failure: Failure,
-        crash: int = answers.NO_CRASH,
+        crash: int = call_messages.NO_CRASH,
     ) -> list[Output]:
-        """Tell a proxy that its call was refused or failed, and the log, as its rate allows."""
-        load = self.load(start.group)
+        """Return the failure message for a proxy, and log events as far as rate limits allow."""
+        load = self.agent_load(start.group)
         fields: dict[str, object] = {
             "kind": failure.kind.value,
             "outcome": failure.outcome.value,
@@ -63,25 +63,27 @@
             "draining": load.draining,
         }
         lines = self._log.failure(events.CALL_NOT_SERVED, start.request_id, fields, self.now)
-        message = answers.call_failed(start, failure, load, crash)
+        message = call_messages.call_failed(start, failure, load, crash)
         return [SendMessage(connection, message), *lines]
 
-    def ran(self, call: Call, status: int, now: float) -> list[Output]:
-        """Return the log line of a call that the back end answered, if its request is followed."""
+    def call_answered(self, call: Call, status: int, now: float) -> list[Output]:
+        """Return the log event of an answered call, if its request is sampled for logging."""
         if not self._log.follows(call.start.request_id):
             return []
         fields: dict[str, object] = {
             "status": status,
-            "waited_milliseconds": int((call.started_at - call.arrived_at) * _MILLISECONDS),
-            "ran_milliseconds": int((now - call.started_at) * _MILLISECONDS),
+            "waited_milliseconds": int(
+                (call.started_at - call.arrived_at) * _MILLISECONDS_PER_SECOND
+            ),
+            "ran_milliseconds": int((now - call.started_at) * _MILLISECONDS_PER_SECOND),
             "running": self._queue.running,
             "queued": self._queue.queued,
         }
         return [*self._log.success(events.CALL_RAN, call.start.request_id, fields)]
 
 
-def crash_log(crash: int, suspects: Sequence[Suspected], queued: int) -> LogEvent:
-    """Return the log line of the end of the back end's process under some requests."""
+def crash_event(crash: int, suspects: Sequence[Suspected], queued: int) -> LogEvent:
+    """Return the log event of a back end crash with the suspected requests."""
     fields: dict[str, object] = {
         "crash": digest_text(crash),
         "requests": [digest_text(each.fingerprint.request) for each in suspects],
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -1,11 +1,11 @@
-"""Takes calls from proxies, gives them slots by fair shares and answers each exactly once.
+"""Queues calls from proxies, runs them at the back end and answers each exactly once.
 
-A refusal that says NOT RUN is only ever sent for a call whose attempt was not handed to the
-back end, and an attempt identifier that was seen before is never handed over again. A call that
-its proxy cancels is answered as well: the proxy learns whether it had begun.
+Free slots are assigned by weighted fair queueing. A failure with outcome NOT RUN is sent only for
+an attempt that was never handed to the back end, and an attempt identifier is handed over at most
+once. A cancelled call is answered too, so that the proxy learns whether it had been started.
 
-Bodies in parts: a proxy sends of a body what ``CallCredit`` asks for, and nothing before the queue
-has room for its call; see ``body_credit``. Long answers go the other way, see ``answer_sender``.
+Request bodies are flow-controlled: a proxy sends no more than ``CallCredit`` allows, and nothing
+until the queue can admit the call; see ``body_credit``. For long responses see ``answer_sender``.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from limelever.agent import answers, events, failures
+from limelever.agent import call_messages, events, failures
 from limelever.agent.answer_link import NO_ROOM, AnswerLink, AnswerTimes
 from limelever.agent.answer_sender import AnswerSender
-from limelever.agent.answers import NO_CRASH
 from limelever.agent.backend_watch import BackendWatch, Seen
-from limelever.agent.calls import Call, CallStage, CallTable, Orphaned
-from limelever.agent.crash_watch import HeldCall
+from limelever.agent.call_messages import NO_CRASH
+from limelever.agent.call_reporter import CallReporter, crash_event
+from limelever.agent.calls import Call, CallStage, CallTable, OrphanedCalls
+from limelever.agent.crash_detector import HeldCall
 from limelever.agent.fair_queue import Eviction, FairQueue, QueueLimits
 from limelever.agent.intake import BodyLimits, CallIntake, Refusal
 from limelever.agent.interface import (
     AttemptAnswered,
     AttemptFailed,
-    BackendReach,
     CancelAttempt,
+    ConnectResult,
 )
-from limelever.agent.replies import Replies, crash_log
-from limelever.agent.version_tally import VersionCount
+from limelever.agent.version_outcomes import VersionOutcomeCounter
 from limelever.common.deadlines import earliest
 from limelever.common.decision_log import DecisionLogSettings
 from limelever.common.errors import ErrorKind, Failure
@@ -41,13 +41,14 @@
 from limelever.protocol.endpoint_hash import LARGEST_LOAD
 
 _SHED_STATUS = 503
-_FIRST_FAILED_STATUS = 500
+_FIRST_SERVER_ERROR_STATUS = 500
 
 
 class CallLimits(Struct, frozen=True):
-    """Bounds of the call service; ``assembling_bytes`` is of bodies not yet whole.
+    """Limits of the call service.
 
-    ``link_rate`` is what the machine's link takes either way, in bytes a second; 0 if not known.
+    ``assembling_bytes`` bounds the total size of incomplete request bodies. ``link_rate`` is the
+    capacity of the machine's network link in each direction, in bytes per second; 0 if unknown.
     """
 
     queue: QueueLimits = QueueLimits()
@@ -58,7 +59,7 @@
 
 
 class CallService:
-    """Calls of all proxies at one incarnation of one instance; sans-io component."""
+    """Handles the calls of all proxies to one incarnation of an instance; sans-I/O component."""
 
     def __init__(
         self,
@@ -66,7 +67,7 @@
         incarnation: int,
         limits: CallLimits,
         generator: random.Random,
-        versions: VersionCount | None = None,
+        versions: VersionOutcomeCounter | None = None,
     ) -> None:
         self._limits = limits
         self._calls = CallTable()
@@ -76,17 +77,17 @@
         self._link = AnswerLink(limits.link_rate)
         self._answers = AnswerSender(self._link)
         self.backend = BackendWatch(generator)
-        self.versions = versions or VersionCount(service, "", "")
-        self._replies = Replies(self._queue, limits.queue.slots, limits.log)
+        self.versions = versions or VersionOutcomeCounter(service, "", "")
+        self._reporter = CallReporter(self._queue, limits.queue.slots, limits.log)
 
     @property
     def draining(self) -> bool:
-        """Whether the back end is leaving: no call is taken in any more."""
-        return self._replies.draining
+        """Return whether the instance is draining and refuses new calls."""
+        return self._reporter.draining
 
     @draining.setter
     def draining(self, draining: bool) -> None:
-        self._replies.draining = draining
+        self._reporter.draining = draining
 
     @property
     def running(self) -> int:
@@ -95,15 +96,15 @@
 
     @property
     def waiting(self) -> int:
-        """Return the calls taken in and not yet started."""
+        """Return the number of accepted calls that have not been started."""
         return self._queue.queued + self._intake.count
 
     @property
-    def told_load(self) -> int:
-        """Return the calls that are here, as proxies are to count them.
+    def advertised_load(self) -> int:
+        """Return the number of calls to report to proxies for load balancing.
 
-        Up to half of the slots count as none: which of two such endpoints is taken hardly matters,
-        and telling each change cost 0.01 of a core a node on a calm day of 74 nodes.
+        An unresponsive back end has the largest load. A load of up to half of the slots is reported
+        as 0: small differences hardly affect the choice of an endpoint, and each report has a cost.
         """
         if self.backend.silent:
             return LARGEST_LOAD
@@ -111,24 +112,24 @@
         return load if load > self._limits.queue.slots // 2 else 0
 
     def pace(self, now: float) -> int:
-        """Return how long work takes at the back end now, 1000 as usual; 0 if not known."""
-        return self._replies.pace.now(now)
+        """Return the back end's current service time in thousandths of the usual; 0 if unknown."""
+        return self._reporter.pace.now(now)
 
     @property
     def unfinished(self) -> int:
-        """Return the attempts at the back end and the answers not yet taken whole."""
+        """Return the number of running attempts and of responses not yet sent completely."""
         return self._queue.running + self._answers.count
 
     def set_weights(self, weights: Mapping[str, int]) -> None:
-        """Take the groups' weights."""
+        """Set the fair-queueing weights of the groups."""
         self._queue.set_weights(weights)
 
     def set_tenant_rates(self, rates: Mapping[str, float]) -> None:
-        """Take the tenants' rates in calls a second."""
+        """Set the tenants' rates in calls per second."""
         self._queue.set_tenant_rates(rates)
 
     def set_max_body(self, service_limit: int) -> None:
-        """Take the service's own body limit in bytes; 0 leaves the process's limit."""
+        """Set the service's request body limit in bytes; 0 applies the limit of the process."""
         self._intake.set_max_body(service_limit)
 
     # --- from proxies -----------------------------------------------------------------------
@@ -136,33 +137,33 @@
     def start(
         self, connection: ConnectionId, peer: str, start: CallStart, now: float
     ) -> list[Output]:
-        """Take a call in, or refuse it."""
-        self._replies.now = now
+        """Accept or refuse a call."""
+        self._reporter.now = now
         call = self._intake.open(connection, peer, start, now, self.draining)
         if isinstance(call, Refusal):
             logs: list[Output] = [call.log] if call.log is not None else []
             if call.failure is None:
                 return logs
-            return [*self._replies.failed(connection, start, call.failure), *logs]
+            return [*self._reporter.call_failed(connection, start, call.failure), *logs]
         if self.backend.silent:
-            return self._refuse(call, failures.SILENT)
-        held_up = self._held_up_by_link(call, now)
-        if held_up is not None:
-            return self._refuse(call, held_up)
+            return self._refuse(call, failures.BACKEND_UNRESPONSIVE)
+        link_failure = self._check_answer_link(call, now)
+        if link_failure is not None:
+            return self._refuse(call, link_failure)
         self._link.expect(call.number, start.group)
         if start.end:
             return self._admit(call, now)
         failure = self._intake.check_body(call)
         if failure is None and start.awaits_credit:
-            whole_after = self._intake.expected_time(start)
-            failure = self._queue.check(call.queued(now), now, whole_after)
+            body_time = self._intake.expected_time(start)
+            failure = self._queue.check(call.queue_entry(now), now, body_time)
         if failure is not None:
             return self._refuse(call, failure)
         self._intake.ask_for(call)
         return []
 
     def body(self, connection: ConnectionId, message: CallBody, now: float) -> list[Output]:
-        """Take a part of a body; parts for unknown streams are late and dropped."""
+        """Append a part of a request body; parts for unknown streams are ignored as late."""
         call = self._calls.by_stream(connection, message.stream)
         if call is None or not self._intake.holds(call):
             return []
@@ -171,8 +172,8 @@
             return self._refuse(call, failure)
         return self._admit(call, now) if message.end else []
 
-    def ask_for_bodies(self, now: float) -> list[Output]:
-        """Let proxies send on what is next of the bodies that are asked for."""
+    def grant_body_credit(self, now: float) -> list[Output]:
+        """Grant proxies credit for the next parts of the requested bodies."""
         outputs: list[Output] = []
         for grant in self._intake.grants(now):
             call = self._calls.by_number(grant.call)
@@ -181,16 +182,16 @@
             outputs.append(SendMessage(call.connection, credit))
         return outputs
 
-    def send_on(self, now: float) -> list[Output]:
-        """Send the parts of long answers whose turn it is on the link."""
+    def send_response_parts(self, now: float) -> list[Output]:
+        """Send the parts of long responses that the link has capacity for."""
         return self._answers.send_on(now) if self._answers.count else []
 
     def credit(self, connection: ConnectionId, message: CallCredit) -> list[Output]:
-        """Send more of a long answer."""
+        """Send more of a long response within the credit of its proxy."""
         return self._answers.credit(connection, message.stream, message.bytes)
 
     def cancel(self, connection: ConnectionId, message: CallCancel) -> list[Output]:
-        """End a call that its proxy no longer wants, and say whether it had begun."""
+        """Cancel a call and tell its proxy whether it had been started."""
         call = self._calls.by_stream(connection, message.stream)
         begun = call is None or call.stage is CallStage.RUNNING
         if begun and message.unless_begun:
@@ -199,19 +200,24 @@
             self._answers.drop(connection, message.stream)
             return []
         if call.stage is not CallStage.RUNNING:
-            return self._refuse(call, self._with_advice(failures.GIVEN_UP, call))
-        answer = self._replies.failed(connection, call.start, failures.CANCELLED)
+            return self._refuse(
+                call, self._with_retry_advice(failures.CANCELLED_BEFORE_START, call)
+            )
+        answer = self._reporter.call_failed(connection, call.start, failures.CANCELLED)
         self._calls.settle(call)
         return [*answer, CancelAttempt(call.number)]
 
-    def proxy_gone(self, connection: ConnectionId, peer: str) -> list[Output]:
-        """Drop what the proxy has waiting; cancel what may be repeated, let the rest finish."""
+    def proxy_disconnected(self, connection: ConnectionId, peer: str) -> list[Output]:
+        """End the calls of a proxy whose connection closed.
+
+        Waiting calls are dropped and repeatable ones cancelled; other running calls may finish.
+        """
         dropped = left_running = 0
         outputs: list[Output] = []
         self._answers.drop_connection(connection)
         for call in self._calls.of_connection(connection):
             if call.stage is not CallStage.RUNNING:
-                self._withdraw(call)
+                self._remove_waiting(call)
                 dropped += 1
                 continue
             self._calls.settle(call)
@@ -219,52 +225,52 @@
                 outputs.append(CancelAttempt(call.number))
             else:
                 left_running += 1
-        orphaned = Orphaned(dropped, len(outputs), left_running)
+        orphaned = OrphanedCalls(dropped, len(outputs), left_running)
         return [*outputs, orphaned.log(peer)] if orphaned.any else []
 
     # --- from the back end ------------------------------------------------------------------
 
-    def answered(self, event: AttemptAnswered, now: float) -> list[Output]:
-        """Pass the back end's answer on; a shed call's 503 is the back end's own answer."""
+    def attempt_answered(self, event: AttemptAnswered, now: float) -> list[Output]:
+        """Forward the back end's response; a 503 is excluded from the service time estimate."""
         call = self._calls.by_number(event.attempt)
         if call is None:
             return []
         self.backend.answered(call.number)
-        ran, failed = now - call.started_at, event.status >= _FIRST_FAILED_STATUS
-        self.versions.ended(call.start.group, ran, failed, now)
+        ran, failed = now - call.started_at, event.status >= _FIRST_SERVER_ERROR_STATUS
+        self.versions.record_call(call.start.group, ran, failed, now)
         self._queue.finish(call.number, now, representative=event.status != _SHED_STATUS)
         settled = call.settled
-        self._replies.now = now
-        self._replies.pace.observe(event.pace_permille, now)
-        self._forget(call)
+        self._reporter.now = now
+        self._reporter.pace.observe(event.pace_permille, now)
+        self._remove(call)
         if not failed:
             self._link.observe(call.start.group, len(event.body))
-        load = self._replies.load(call.start.group)
+        load = self._reporter.agent_load(call.start.group)
         outputs = [] if settled else self._answers.send(call, event, load, now)
-        outputs.extend(self._replies.ran(call, event.status, now))
+        outputs.extend(self._reporter.call_answered(call, event.status, now))
         return [*outputs, *self.start_waiting(now)]
 
-    def failed(self, event: AttemptFailed, now: float) -> list[Output]:
-        """Answer a failed attempt with what is known about whether it ran."""
-        self._replies.now = now
+    def attempt_failed(self, event: AttemptFailed, now: float) -> list[Output]:
+        """Report a failed attempt to the proxy, with whether it may have run."""
+        self._reporter.now = now
         call = self._calls.by_number(event.attempt)
         if call is None:
             return []
-        if event.by_backend:
-            self.versions.ended(call.start.group, now - call.started_at, True, now)
+        if event.backend_at_fault:
+            self.versions.record_call(call.start.group, now - call.started_at, True, now)
         self._queue.finish(call.number, now, representative=False)
-        failure = answers.attempt_failure(event)
+        failure = call_messages.attempt_failure(event)
         if failure.kind is ErrorKind.BACKEND_REFUSED:
             advice = self._queue.advice_of_turned_away(call.start.group, now)
             failure = replace(failure, retry_after=advice)
         if self.backend.failed(event, failure, call, now):
             return self.start_waiting(now)
-        return [*self._end(call, failure), *self.start_waiting(now)]
+        return [*self._finish_unanswered(call, failure), *self.start_waiting(now)]
 
     # --- time and drain ---------------------------------------------------------------------
 
     def next_deadline(self) -> float | None:
-        """Return the earliest deadline of a call or answer that waits."""
+        """Return the earliest deadline of a waiting call, a pending response or a check."""
         return earliest(
             self._intake.next_deadline(),
             self._queue.next_deadline(),
@@ -273,54 +279,61 @@
         )
 
     def expire(self, now: float) -> list[Output]:
-        """Refuse the calls whose deadline passed while they waited, and drop late answers."""
+        """Refuse waiting calls that are past their deadline, and drop late responses."""
         assembling = [call.number for call in self._intake.expired(now)]
         outputs = self._refuse_late([*self._queue.take_expired(now), *assembling])
         if self._answers.count:
-            outputs.extend(self._answers.expire(now, self._replies.load))
+            outputs.extend(self._answers.expire(now, self._reporter.agent_load))
         return outputs
 
-    def refuse_waiting(self, reason: Failure = failures.LEAVING) -> list[Output]:
-        """Give every call that has not started back to its proxy."""
+    def refuse_waiting(self, reason: Failure = failures.DRAINING) -> list[Output]:
+        """Refuse every call that has not been started."""
         waiting = (*self._calls.in_stage(CallStage.QUEUED), *self._intake.assembling)
         return [output for call in waiting for output in self._refuse(call, reason)]
 
-    def backend_checked(self, reach: BackendReach, now: float) -> list[Output]:
-        """Take what became of a connection that was tried for want of answers, or as others broke.
+    def backend_checked(self, result: ConnectResult, now: float) -> list[Output]:
+        """Process the result of a connection check.
 
-        Where none opens, calls go back to their proxies: those that wait, and those that run and
-        may be repeated. What may not be repeated stays until its deadline: its answer may still
-        come.
+        If the back end is unresponsive, waiting calls are refused and running repeatable calls are
+        failed. Other running calls are kept until their deadline, as they may still be answered.
         """
-        self._replies.now = now
-        seen = self.backend.checked(reach, self.running, now)
-        outputs = self._ended(seen) if seen.crash else []
+        self._reporter.now = now
+        seen = self.backend.checked(result, self.running, now)
+        outputs = self._report_crash(seen) if seen.crash else []
         for held in seen.held:
-            outputs.extend(self._end_held(held, seen.crash))
+            outputs.extend(self._finish_held(held, seen.crash))
         if seen.fell_silent:
             fields: dict[str, object] = {"running": self.running, "queued": self.waiting}
             outputs.append(LogEvent(events.BACKEND_SILENT, fields))
-            return [*outputs, *self.refuse_waiting(failures.SILENT), *self._give_up_repeatable()]
+            return [
+                *outputs,
+                *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE),
+                *self._fail_repeatable(),
+            ]
         if seen.is_back:
             outputs.append(LogEvent(events.BACKEND_BACK))
         return outputs if self.backend.silent else [*outputs, *self.start_waiting(now)]
 
-    def cut_off(self) -> list[Output]:
-        """Cancel every running attempt at the end of the drain limit."""
+    def cancel_running(self) -> list[Output]:
+        """Cancel every running attempt, for instance when the drain limit is reached."""
         outputs: list[Output] = []
         for call in self._calls.in_stage(CallStage.RUNNING):
             if not call.settled:
-                outputs.extend(self._replies.failed(call.connection, call.start, failures.CUT_OFF))
+                outputs.extend(
+                    self._reporter.call_failed(
+                        call.connection, call.start, failures.DRAIN_LIMIT_REACHED
+                    )
+                )
                 self._calls.settle(call)
             outputs.append(CancelAttempt(call.number))
         return outputs
 
     def start_waiting(self, now: float) -> list[Output]:
-        """Hand calls to the back end while slots are free.
+        """Start queued calls while slots are free.
 
-        The timer of a busy process fires late: a call past its deadline is refused here first.
+        Expired calls are refused first, since the timer of a busy process may fire late.
         """
-        self._replies.now = now
+        self._reporter.now = now
         outputs = self.expire(now)
         outputs.extend(self.backend.take_check(now))
         outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
@@ -330,61 +343,73 @@
             call.started_at = now
             service_time = self._queue.service_time_of(queued.group)
             self.backend.started(call.number, service_time, now)
-            outputs.append(call.begin(now))
+            outputs.append(call.start_attempt(now))
             outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
         return outputs
 
-    def _ended(self, seen: Seen) -> list[Output]:
-        """Tell under which requests the back end's process ended, and give back what waits."""
-        log = crash_log(seen.crash, seen.suspects, self.waiting)
-        return [log, *self.refuse_waiting(failures.SILENT)]
+    def _report_crash(self, seen: Seen) -> list[Output]:
+        """Log the requests that ran when the back end process exited, and refuse waiting calls."""
+        log = crash_event(seen.crash, seen.suspects, self.waiting)
+        return [log, *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE)]
 
-    def _end_held(self, held: HeldCall, crash: int) -> list[Output]:
+    def _finish_held(self, held: HeldCall, crash: int) -> list[Output]:
         call = self._calls.by_number(held.call)
-        failure = failures.CRASHED if crash else held.failure
-        return [] if call is None else self._end(call, failure, crash)
+        failure = failures.BACKEND_CRASHED if crash else held.failure
+        return [] if call is None else self._finish_unanswered(call, failure, crash)
 
-    def _end(self, call: Call, failure: Failure, crash: int = NO_CRASH) -> list[Output]:
-        """Forget a call that the back end did not answer; its proxy is told if it still waits."""
+    def _finish_unanswered(
+        self, call: Call, failure: Failure, crash: int = NO_CRASH
+    ) -> list[Output]:
+        """Remove a call without a response, and tell its proxy unless it was told already."""
         settled = call.settled
-        self._forget(call)
-        return [] if settled else self._replies.failed(call.connection, call.start, failure, crash)
+        self._remove(call)
+        return (
+            []
+            if settled
+            else self._reporter.call_failed(call.connection, call.start, failure, crash)
+        )
 
-    def _give_up_repeatable(self) -> list[Output]:
+    def _fail_repeatable(self) -> list[Output]:
         outputs: list[Output] = []
         for call in self._calls.in_stage(CallStage.RUNNING):
             if call.repeatable and not call.settled:
                 outputs.extend(
-                    self._replies.failed(call.connection, call.start, failures.FELL_SILENT)
+                    self._reporter.call_failed(
+                        call.connection, call.start, failures.BECAME_UNRESPONSIVE
+                    )
                 )
                 self._calls.settle(call)
                 outputs.append(CancelAttempt(call.number))
         return outputs
 
-    # --- parts ------------------------------------------------------------------------------
+    # --- helpers ----------------------------------------------------------------------------
 
     def _refuse_late(self, numbers: Sequence[int]) -> list[Output]:
         outputs: list[Output] = []
         for number in numbers:
             call = self._calls.by_number(number)
             assert call is not None
-            outputs.extend(self._refuse(call, self._with_advice(failures.TOO_LATE, call)))
+            outputs.extend(
+                self._refuse(call, self._with_retry_advice(failures.CANNOT_MEET_DEADLINE, call))
+            )
         return outputs
 
-    def _with_advice(self, failure: Failure, call: Call) -> Failure:
-        return replace(failure, retry_after=self._queue.advice(call.start.group, self._replies.now))
+    def _with_retry_advice(self, failure: Failure, call: Call) -> Failure:
+        return replace(
+            failure, retry_after=self._queue.advice(call.start.group, self._reporter.now)
+        )
 
     def _admit(self, call: Call, now: float) -> list[Output]:
         self._intake.close(call)
-        asked_for = call.start.awaits_credit
-        offered = self._queue.offer(call.queued(now), now, checked=asked_for)
-        if isinstance(offered, Failure):
-            self._forget(call)
-            return self._replies.failed(call.connection, call.start, offered)
+        already_checked = call.start.awaits_credit
+        admitted = self._queue.offer(call.queue_entry(now), now, checked=already_checked)
+        if isinstance(admitted, Failure):
+            self._remove(call)
+            return self._reporter.call_failed(call.connection, call.start, admitted)
         call.stage = CallStage.QUEUED
-        return [*self._evicted(offered), *self.start_waiting(now)]
+        return [*self._refuse_evicted(admitted), *self.start_waiting(now)]
 
-    def _evicted(self, evictions: tuple[Eviction, ...]) -> list[Output]:
+    def _refuse_evicted(self, evictions: tuple[Eviction, ...]) -> list[Output]:
         outputs: list[Output] = []
         for eviction in evictions:
             call = self._calls.by_number(eviction.call)
@@ -393,20 +418,20 @@
         return outputs
 
     def _refuse(self, call: Call, failure: Failure) -> list[Output]:
-        self._withdraw(call)
-        return self._replies.failed(call.connection, call.start, failure)
+        self._remove_waiting(call)
+        return self._reporter.call_failed(call.connection, call.start, failure)
 
-    def _withdraw(self, call: Call) -> None:
+    def _remove_waiting(self, call: Call) -> None:
         self._intake.close(call)
         self._queue.remove(call.number)
-        self._forget(call)
+        self._remove(call)
 
-    def _forget(self, call: Call) -> None:
+    def _remove(self, call: Call) -> None:
         self._link.settle(call.number)
         self._calls.remove(call)
 
-    def _held_up_by_link(self, call: Call, now: float) -> Failure | None:
-        """Return why a call's answer would be through the link too late; NOT RUN."""
+    def _check_answer_link(self, call: Call, now: float) -> Failure | None:
+        """Return a failure if the response could not be sent over the link in time."""
         group = call.start.group
         service_time = self._queue.service_time_of(group)
         times = AnswerTimes(call.target, call.deadline, service_time)
--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -1,4 +1,4 @@
-"""The calls an agent has taken in and not yet ended, and the attempts it has seen before."""
+"""Table of the calls in progress, and deduplication of attempt identifiers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from limelever.quarantine.fingerprint import Fingerprint
 
 ATTEMPT_GENERATION_SECONDS = 30.0
-"""An attempt's identifier is remembered for one to two generations."""
+"""Attempt identifiers are remembered for one to two generations."""
 
 ATTEMPTS_PER_GENERATION = 50_000
-"""Bound of the memory for identifiers; past it, calls are refused rather than forgotten."""
+"""Once this many identifiers are remembered, further calls are refused."""
 
 
 class CallStage(Enum):
-    """How far a call has come."""
+    """Progress of a call."""
 
     ASSEMBLING = auto()
     QUEUED = auto()
@@ -34,7 +34,11 @@
 
 
 class Call(Struct):
-    """One call: ``settled`` once the proxy has its last message or is gone."""
+    """One call of a proxy; times are monotonic seconds.
+
+    ``settled`` is set once the last message was sent to the proxy, or the proxy has disconnected.
+    ``target`` is when the caller would like the response, ``deadline`` when it stops waiting.
+    """
 
     number: int
     connection: ConnectionId
@@ -50,11 +54,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether the call may run more than once."""
+        """Return whether the call may be run more than once."""
         return bool(self.start.call_kind == CALL_KIND_REPEATABLE)
 
-    def queued(self, now: float) -> QueuedCall:
-        """Return the call as it waits for a slot from now on."""
+    def queue_entry(self, now: float) -> QueuedCall:
+        """Return the queue entry of the call, which waits for a slot from ``now`` on."""
         return QueuedCall(
             call=self.number,
             group=self.start.group,
@@ -65,8 +69,8 @@
             tenant=self.start.tenant,
         )
 
-    def begin(self, now: float) -> StartAttempt:
-        """Hand the call to the back end, which shares the body's bytes from now on."""
+    def start_attempt(self, now: float) -> StartAttempt:
+        """Mark the call as running and return its attempt, which takes over the body."""
         self.stage = CallStage.RUNNING
         start, body = self.start, bytes(self.body)
         self.sent_body = body
@@ -82,15 +86,15 @@
             tenant=start.tenant,
         )
 
-    def suspected(self) -> Suspected:
-        """Return what the request is known by, should the back end end under it."""
+    def as_suspect(self) -> Suspected:
+        """Return the request's fingerprint, to be reported if the back end crashes."""
         start = self.start
         fingerprint = Fingerprint.of(start.service, start.method, start.target, self.sent_body)
         return Suspected(fingerprint, start.known_depth)
 
 
-class Orphaned(Struct, frozen=True):
-    """What became of the calls of a proxy that is gone."""
+class OrphanedCalls(Struct, frozen=True):
+    """What became of the calls of a disconnected proxy; the fields are logged."""
 
     dropped: int
     cancelled: int
@@ -102,12 +106,12 @@
         return bool(self.dropped or self.cancelled or self.left_running)
 
     def log(self, peer: str) -> LogEvent:
-        """Return the event to be logged."""
+        """Return the log event."""
         return LogEvent(events.ORPHANED_ATTEMPTS, {"peer": peer, **asdict(self)})
 
 
 class CallTable:
-    """Calls by number and by link and stream."""
+    """Calls indexed by number and by connection and stream."""
 
     def __init__(self) -> None:
         self._last_number = 0
@@ -117,7 +121,7 @@
     def add(
         self, connection: ConnectionId, start: CallStart, deadline: float, target: float = math.inf
     ) -> Call:
-        """Take in a call whose stream is free."""
+        """Add a call; its stream must be free."""
         self._last_number += 1
         kept = CallStart()
         kept.CopyFrom(start)
@@ -133,22 +137,22 @@
         return self._calls.get(number)
 
     def by_stream(self, connection: ConnectionId, stream: int) -> Call | None:
-        """Return the call that the proxy knows by this stream."""
+        """Return the unsettled call with this stream."""
         number = self._streams.get((connection, stream))
         return None if number is None else self._calls[number]
 
     def settle(self, call: Call) -> None:
-        """Free the call's stream: the proxy hears no more of it."""
+        """Mark the call as settled and free its stream."""
         call.settled = True
         self._streams.pop((call.connection, call.start.stream), None)
 
     def remove(self, call: Call) -> None:
-        """Forget a call that has ended."""
+        """Settle and remove a call."""
         self.settle(call)
         self._calls.pop(call.number, None)
 
     def of_connection(self, connection: ConnectionId) -> tuple[Call, ...]:
-        """Return the unsettled calls of a link."""
+        """Return the unsettled calls of a connection."""
         calls = self._calls.values()
         return tuple(c for c in calls if c.connection == connection and not c.settled)
 
@@ -157,12 +161,12 @@
         return [call.start.attempt_id for call in self._calls.values()]
 
     def in_stage(self, stage: CallStage) -> tuple[Call, ...]:
-        """Return the calls that have come this far."""
+        """Return the calls in this stage."""
         return tuple(call for call in self._calls.values() if call.stage is stage)
 
 
 class RecentAttempts:
-    """Attempt identifiers seen within the last one to two generations."""
+    """Attempt identifiers received within the last one to two generations."""
 
     def __init__(self) -> None:
         self._current: set[bytes] = set()
@@ -174,19 +178,19 @@
 
     @property
     def full(self) -> bool:
-        """Return whether no further identifier can be remembered for now."""
+        """Return whether the current generation has no room for another identifier."""
         return len(self._current) >= ATTEMPTS_PER_GENERATION
 
     def due(self, now: float) -> bool:
-        """Return whether the older generation is to be dropped."""
+        """Return whether it is time to drop the older generation."""
         return now >= self._rotate_at
 
     def rotate(self, now: float, in_flight: Iterable[bytes]) -> None:
-        """Drop the older generation; attempts in flight stay remembered."""
+        """Drop the older generation, but keep the identifiers of attempts in flight."""
         self._previous = self._current
         self._current = set(in_flight)
         self._rotate_at = now + ATTEMPT_GENERATION_SECONDS
 
     def add(self, attempt_id: bytes) -> None:
-        """Remember an identifier."""
+        """Remember an attempt identifier."""
         self._current.add(attempt_id)
--- a/src/limelever/agent/connections.py
+++ b/src/limelever/agent/connections.py
@@ -10,7 +10,7 @@
 import trio
 from msgspec import Struct
 
-from limelever.agent.interface import BackendReach
+from limelever.agent.interface import ConnectResult
 from limelever.agent.settings import BackendSettings
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.settings import seconds
@@ -92,7 +92,7 @@
         else:
             connection.close()
 
-    async def try_new(self, timeout: float) -> BackendReach:
+    async def try_new(self, timeout: float) -> ConnectResult:
         """Return what becomes of a new connection within ``timeout`` seconds.
 
         One that opens is kept. The system tells whether it did: a process that had no processor in
@@ -104,7 +104,7 @@
                 address.host, address.port, type=socket.SOCK_STREAM
             )
         except OSError:
-            return BackendReach.REFUSED
+            return ConnectResult.REFUSED
         family, _, _, _, target = found[0]
         tried = socket.socket(family)
         tried.setblocking(False)
@@ -112,7 +112,7 @@
         with trio.move_on_after(timeout):
             await trio.lowlevel.wait_writable(tried)
         reach = _reach_of(tried, begun)
-        if reach is not BackendReach.OPENED:
+        if reach is not ConnectResult.OPENED:
             tried.close()
             return reach
         stream = trio.SocketStream(trio.socket.from_stdlib_socket(tried))
@@ -147,16 +147,16 @@
         return BackendConnection(stream, self._keep)
 
 
-def _reach_of(tried: socket.socket, begun: int) -> BackendReach:
+def _reach_of(tried: socket.socket, begun: int) -> ConnectResult:
     """Return what has become of a connection; ``begun`` is the system's answer to its beginning."""
     refused = begun not in (0, errno.EINPROGRESS)
     if refused or tried.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-        return BackendReach.REFUSED
+        return ConnectResult.REFUSED
     try:
         tried.getpeername()
     except OSError:
-        return BackendReach.SILENT
-    return BackendReach.OPENED
+        return ConnectResult.TIMED_OUT
+    return ConnectResult.OPENED
 
 
 def keep_alive_seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
--- a/src/limelever/agent/core.py
+++ b/src/limelever/agent/core.py
@@ -1,4 +1,8 @@
-"""The agent core: registration, configuration, calls and drain of one back end instance."""
+"""The agent core: combines registration, configuration, call handling and draining.
+
+One core serves one back end instance. It performs no I/O: the process around it feeds it events
+and carries out the outputs that it returns.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
     VersionKnown,
 )
 from limelever.agent.registration import Registration, RegistrationSettings
-from limelever.agent.version_tally import VersionCount
+from limelever.agent.version_outcomes import VersionOutcomeCounter
 from limelever.common.deadlines import earliest
 from limelever.common.sansio import (
     CloseConnection,
@@ -62,7 +66,7 @@
 from limelever.subscriber.sealing import Sealer
 from limelever.subscriber.settings import SubscriberSettings
 
-_NOTICES = (
+_IGNORED_NOTICES = (
     ConfigurationInstalled,
     CrashNewsReceived,
     EndpointsReceived,
@@ -73,12 +77,12 @@
 
 
 class AgentOptions(Struct, frozen=True):
-    """Settings of the agent core; ``cold_start_limit`` in seconds.
+    """Settings of the agent core.
 
-    Without a ``subscriber`` the process around the core gives it the configuration.
+    Without a ``subscriber`` the process passes its own configuration to the core.
 
-    The endpoint is registered once a health probe has passed, or after the cold start limit:
-    probes lag and mislead, so they may delay the registration and never prevent it.
+    The endpoint is registered once a health probe has passed, or after ``cold_start_limit``
+    seconds: probes may be late or wrong, so they delay the registration but never prevent it.
     """
 
     registration: RegistrationSettings
@@ -89,9 +93,9 @@
 
 
 class AgentCore:
-    """Sans-io core of one agent process.
+    """Sans-I/O core of one agent process.
 
-    ``incarnation`` must be higher than that of any earlier run of the instance.
+    ``incarnation`` must be higher than in any earlier run of the same instance.
     """
 
     def __init__(
@@ -116,8 +120,10 @@
                 recovered or Recovered(),
                 sealer,
             )
-        named = options.registration
-        self._versions = VersionCount(self._service, named.instance, named.version)
+        registration = options.registration
+        self._versions = VersionOutcomeCounter(
+            self._service, registration.instance, registration.version
+        )
         self._calls = CallService(
             self._service, incarnation, options.calls, generator, self._versions
         )
@@ -129,51 +135,51 @@
 
     @property
     def registered(self) -> bool:
-        """Return whether a relay holds the endpoint's lease."""
+        """Return whether the endpoint holds a lease at a relay."""
         return self._registration.leased
 
     @property
     def version(self) -> int:
-        """Return the configuration version in force; 0 when there is none."""
+        """Return the version of the installed configuration; 0 if there is none."""
         return self._subscriber.version if self._subscriber is not None else 0
 
     @property
     def fresh_at(self) -> float | None:
-        """When the configuration was last known to be current (seconds, monotonic), or ``None``."""
+        """Return when the configuration was last known to be current (monotonic seconds)."""
         return self._subscriber.fresh_at if self._subscriber is not None else None
 
     @property
     def running(self) -> int:
-        """Return the attempts at the back end now."""
+        """Return the number of attempts running at the back end."""
         return self._calls.running
 
     @property
     def waiting(self) -> int:
-        """Return the calls taken in and not yet started."""
+        """Return the number of accepted calls that have not been started."""
         return self._calls.waiting
 
     def handle(self, event: Event, now: float) -> Sequence[Output]:
-        """Take one event at ``now`` (seconds, monotonic)."""
+        """Process one event at ``now`` (monotonic seconds) and return the resulting outputs."""
         if self._finished:
             return []
-        outputs = self._own_event(event, now)
+        outputs = self._handle_event(event, now)
         if self._finished:
             return outputs
-        outputs.extend(self._calls.ask_for_bodies(now))
-        outputs.extend(self._calls.send_on(now))
-        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(self._calls.grant_body_credit(now))
+        outputs.extend(self._calls.send_response_parts(now))
+        outputs.extend(self._registration.report_crashes(self._calls.backend.take_news(), now))
         outputs.extend(self._registration.handle(event, now))
-        tally = self._versions.take_news(now)
-        outputs.extend(self._registration.tell_tally(tally) if tally is not None else [])
-        outputs.extend(self._subscribed(event, now))
-        running, load = self._calls.running, self._calls.told_load
+        tally = self._versions.take_report(now)
+        outputs.extend(self._registration.report_version_tally(tally) if tally is not None else [])
+        outputs.extend(self._handle_subscription(event, now))
+        running, load = self._calls.running, self._calls.advertised_load
         pace = self._calls.pace(now)
         outputs.extend(self._registration.report_load(running, load, now, pace))
         outputs.extend(self._advance_drain(now))
         return outputs
 
     def next_deadline(self) -> float | None:
-        """Return when ``DeadlineReached`` is wanted."""
+        """Return when the core needs the next ``DeadlineReached``."""
         if self._finished:
             return None
         deadlines = [
@@ -187,31 +193,31 @@
             deadlines.append(drain.next_deadline(self._calls.unfinished, self._calls.waiting))
         return earliest(*deadlines)
 
-    def _own_event(self, event: Event, now: float) -> list[Output]:
+    def _handle_event(self, event: Event, now: float) -> list[Output]:
         match event:
             case Started():
                 self._cold_start.begin(now)
             case MessageReceived(connection, message) if connection in self._proxies:
-                return self._proxy_message(connection, message, now)
+                return self._handle_proxy_message(connection, message, now)
             case AttemptAnswered():
-                return self._calls.answered(event, now)
+                return self._calls.attempt_answered(event, now)
             case AttemptFailed():
-                return self._calls.failed(event, now)
+                return self._calls.attempt_failed(event, now)
             case DeadlineReached():
                 started = self._calls.start_waiting(now)
-                return [*started, *self._warm(self._cold_start.expire(now), now)]
+                return [*started, *self._register_when_warm(self._cold_start.expire(now), now)]
             case ConnectionOpened() | ConnectionClosed():
-                return self._link_event(event)
+                return self._handle_connection_event(event)
             case _:
-                return self._backend_event(event, now)
+                return self._handle_control_event(event, now)
         return []
 
-    def _backend_event(self, event: Event, now: float) -> list[Output]:
+    def _handle_control_event(self, event: Event, now: float) -> list[Output]:
         match event:
-            case BackendChecked(reach):
-                return self._calls.backend_checked(reach, now)
+            case BackendChecked(result):
+                return self._calls.backend_checked(result, now)
             case BackendProbed(healthy):
-                return self._warm(self._cold_start.probed(healthy), now)
+                return self._register_when_warm(self._cold_start.probed(healthy), now)
             case DrainRequested():
                 return self._begin_drain(now)
             case BackendGone():
@@ -222,28 +228,34 @@
             case PublishersListed(addresses):
                 self._registration.extend_relays(addresses)
             case ConfigurationShared(version, configuration):
-                return self._install(version, configuration)
+                return self._apply_configuration(version, configuration)
             case VersionKnown(version, warm_up_left):
-                self._versions.take_version(version, warm_up_left, now)
-                return self._registration.take_version(version)
+                self._versions.set_version(version, warm_up_left, now)
+                return self._registration.set_version(version)
             case RelaysShared(received):
                 return self._registration.replace_relays(received, now)
         return []
 
-    def _link_event(self, event: ConnectionOpened | ConnectionClosed) -> list[Output]:
+    def _handle_connection_event(self, event: ConnectionOpened | ConnectionClosed) -> list[Output]:
         connection = event.connection
         if isinstance(event, ConnectionOpened):
-            return self._proxy_opened(connection, event.peer) if _is_accepted(connection) else []
+            return self._accept_proxy(connection, event.peer) if _is_accepted(connection) else []
         peer = self._proxies.pop(connection, None)
-        return [] if peer is None else self._calls.proxy_gone(connection, peer.name)
+        return [] if peer is None else self._calls.proxy_disconnected(connection, peer.name)
 
-    def _proxy_opened(self, connection: ConnectionId, peer: Peer) -> list[Output]:
+    def _accept_proxy(self, connection: ConnectionId, peer: Peer) -> list[Output]:
         if peer.purpose is not Purpose.CALLS:
-            return [CloseConnection(connection, f"{peer.purpose.value} is not served here")]
+            return [
+                CloseConnection(
+                    connection, f"connections for {peer.purpose.value} are not accepted by agents"
+                )
+            ]
         self._proxies[connection] = peer
         return []
 
-    def _proxy_message(self, connection: ConnectionId, message: object, now: float) -> list[Output]:
+    def _handle_proxy_message(
+        self, connection: ConnectionId, message: object, now: float
+    ) -> list[Output]:
         match message:
             case CallStart():
                 if self._drain is not None:
@@ -257,40 +269,43 @@
                 return self._calls.cancel(connection, message)
         return []
 
-    def _subscribed(self, event: Event, now: float) -> list[Output]:
+    def _handle_subscription(self, event: Event, now: float) -> list[Output]:
         if self._subscriber is None:
             return []
         outputs: list[Output] = []
         for output in self._subscriber.handle(event, now):
             if isinstance(output, ConfigurationInstalled):
-                outputs.extend(self._install(output.version, output.configuration))
+                outputs.extend(self._apply_configuration(output.version, output.configuration))
             elif isinstance(output, PublishersReceived):
                 outputs.extend(self._registration.replace_relays(output, now))
-            elif not isinstance(output, _NOTICES):
+            elif not isinstance(output, _IGNORED_NOTICES):
                 outputs.append(output)
         return outputs
 
-    def _install(self, version: int, configuration: ConfigurationSet) -> list[Output]:
+    def _apply_configuration(self, version: int, configuration: ConfigurationSet) -> list[Output]:
         service = configuration.services.get(self._service)
         self._calls.set_max_body(service.max_body_bytes if service else 0)
-        own_limit = self._options.drain.limit
-        wanted = seconds(service.drain_limit_ms) if service else 0.0
-        self._drain_limit = min(own_limit, wanted) if wanted else own_limit
+        process_limit = self._options.drain.limit
+        service_limit = seconds(service.drain_limit_ms) if service else 0.0
+        self._drain_limit = min(process_limit, service_limit) if service_limit else process_limit
         shares = configuration.shares.get(self._service, ())
-        self._versions.follow(configuration.rollouts.get(self._service))
+        self._versions.track_rollout(configuration.rollouts.get(self._service))
         self._calls.set_weights({share.group: share.weight for share in shares})
         tenants = configuration.tenants.values()
         self._calls.set_tenant_rates({each.name: each.rate_per_s for each in tenants})
         fields: dict[str, object] = {"version": version, "groups": len(shares)}
         return [LogEvent(events.SHARES_CHANGED, fields)]
 
-    def _warm(self, log: LogEvent | None, now: float) -> list[Output]:
-        """Register once the cold start is over; ``log`` tells what ended it or changed since."""
+    def _register_when_warm(self, log: LogEvent | None, now: float) -> list[Output]:
+        """Register the endpoint once the cold start is over.
+
+        ``log`` is the event of the cold start to be logged, ``None`` if nothing has changed.
+        """
         if log is None:
             return []
         if self._drain is not None:
             return [log]
-        return [log, *self._registration.begin(now)]
+        return [log, *self._registration.start(now)]
 
     # --- drain ------------------------------------------------------------------------------
 
@@ -306,8 +321,8 @@
             "queued": self._calls.waiting,
             "limit_seconds": self._drain_limit,
         }
-        told = self._registration.change_state(ENDPOINT_STATE_DRAINING, now)
-        return [LogEvent(events.DRAIN_STARTED, fields), *told]
+        state_report = self._registration.change_state(ENDPOINT_STATE_DRAINING, now)
+        return [LogEvent(events.DRAIN_STARTED, fields), *state_report]
 
     def _advance_drain(self, now: float) -> list[Output]:
         if self._drain is None:
@@ -322,9 +337,9 @@
     def _finish(self, now: float) -> list[Output]:
         self._finished = True
         cut_off = self._calls.running
-        outputs = [*self._calls.refuse_waiting(), *self._calls.cut_off()]
-        outputs.extend(self._registration.tell_crashes(self._calls.backend.take_news(), now))
-        outputs.extend(self._registration.end(now))
+        outputs = [*self._calls.refuse_waiting(), *self._calls.cancel_running()]
+        outputs.extend(self._registration.report_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(self._registration.stop(now))
         if self._subscriber is not None:
             outputs.extend(self._subscriber.stop(now))
         outputs.extend(CloseConnection(each, "the agent stops") for each in self._proxies)
--- a/src/limelever/agent/drain.py
+++ b/src/limelever/agent/drain.py
@@ -1,4 +1,4 @@
-"""Progress of a planned stop: when queued calls are given back and when the agent may go."""
+"""Graceful shutdown: decides when queued calls are refused and when the agent may stop."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class DrainLimits(Struct, frozen=True):
-    """Durations of a drain in seconds, counted from its beginning.
+    """Time limits of a drain, in seconds.
 
-    ``limit`` is the time running calls have; ``queue`` the time in which queued calls may
-    still start; ``linger`` how long the agent stays after the last call that it refused, so
-    that a call on its way hears DRAINING (NOT RUN) in place of a lost connection.
+    ``limit`` and ``queue`` count from the start of the drain: running calls may finish within the
+    former, queued calls may be started within the latter. ``linger`` is how long the agent stays
+    after it last refused a call, so that calls on their way are refused as DRAINING (NOT RUN)
+    instead of losing their connection.
     """
 
     limit: float = 25.0
@@ -21,7 +22,7 @@
 
 
 class DrainStep(Enum):
-    """What is to be done now."""
+    """The next action of a drain."""
 
     WAIT = auto()
     REFUSE_QUEUED = auto()
@@ -29,38 +30,38 @@
 
 
 class Drain:
-    """One planned stop that began at ``now``."""
+    """A drain that started at ``now`` (monotonic seconds)."""
 
     def __init__(self, limits: DrainLimits, now: float) -> None:
-        self._give_up_at = now + limits.limit
-        self._refuse_queued_at = min(now + limits.queue, self._give_up_at)
+        self._limit_at = now + limits.limit
+        self._refuse_queued_at = min(now + limits.queue, self._limit_at)
         self._linger = limits.linger
-        self._quiet_from = now
-        self._queue_refused = False
+        self._last_refusal_at = now
+        self._queued_refused = False
 
     def call_refused(self, now: float) -> None:
-        """Note that a proxy still sends calls here."""
-        self._quiet_from = now
+        """Record that a call was refused, so that the agent lingers."""
+        self._last_refusal_at = now
 
     def next_step(self, now: float, running: int, waiting: int) -> DrainStep:
-        """Return what is to be done at ``now`` with this many calls running and waiting."""
-        if now >= self._give_up_at:
+        """Return the action at ``now`` with this many calls running and waiting."""
+        if now >= self._limit_at:
             return DrainStep.FINISH
-        if not self._queue_refused and now >= self._refuse_queued_at:
-            self._queue_refused = True
+        if not self._queued_refused and now >= self._refuse_queued_at:
+            self._queued_refused = True
             return DrainStep.REFUSE_QUEUED
-        if running or waiting or now < self._quiet_at():
+        if running or waiting or now < self._linger_ends_at():
             return DrainStep.WAIT
         return DrainStep.FINISH
 
     def next_deadline(self, running: int, waiting: int) -> float:
-        """Return when ``next_step`` is to be asked again."""
-        moments = [self._give_up_at]
-        if not self._queue_refused:
+        """Return when ``next_step`` must be called again."""
+        moments = [self._limit_at]
+        if not self._queued_refused:
             moments.append(self._refuse_queued_at)
         if not running and not waiting:
-            moments.append(self._quiet_at())
+            moments.append(self._linger_ends_at())
         return min(moments)
 
-    def _quiet_at(self) -> float:
-        return min(self._quiet_from + self._linger, self._give_up_at)
+    def _linger_ends_at(self) -> float:
+        return min(self._last_refusal_at + self._linger, self._limit_at)
--- a/src/limelever/agent/own_endpoint.py
+++ b/src/limelever/agent/endpoint_messages.py
@@ -1,4 +1,4 @@
-"""What an agent tells relays of its own endpoint; each message is newer than the one before."""
+"""Builds registration and renewal messages of an endpoint, numbered in ascending order."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 )
 
 
-class OwnEndpoint:
-    """The endpoint's state, and the sequence numbers of what is told of it.
+class EndpointMessages:
+    """Holds the endpoint's state and builds messages with increasing sequence numbers.
 
-    ``endpoint`` names the endpoint; its sequence, state and load are filled in here.
+    ``endpoint`` identifies the endpoint; its sequence, state and load are filled in here.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.state: EndpointState.ValueType = ENDPOINT_STATE_READY
         self._endpoint = endpoint
 
-    def take_version(self, version: str) -> None:
-        """Name the version of the back end's software from now on."""
+    def set_version(self, version: str) -> None:
+        """Set the version of the back end's software."""
         self._endpoint.version = version
 
     def register(self, in_flight: int) -> Register:
-        """Return the message that registers the endpoint whole."""
+        """Return a message that registers the complete endpoint."""
         endpoint = self._endpoint
         endpoint.sequence += 1
         endpoint.state = self.state
@@ -34,7 +34,7 @@
         return Register(endpoint=endpoint)
 
     def renew(self, in_flight: int) -> LeaseRenew:
-        """Return the message that renews the lease and tells state and load."""
+        """Return a message that renews the lease and reports state and load."""
         self._endpoint.sequence += 1
         return LeaseRenew(
             incarnation=self._endpoint.incarnation,
--- a/src/limelever/agent/events.py
+++ b/src/limelever/agent/events.py
@@ -9,32 +9,42 @@
 )
 LEASE_LOST = define(5001, "lease-lost", Level.WARNING, "registration lease lost", "relay", "reason")
 REGISTRATION_MOVED = define(
-    5002, "registration-moved", Level.INFO, "registration moves to another relay", "relay", "reason"
+    5002,
+    "registration-moved",
+    Level.INFO,
+    "relay failed, registration moves to the next one",
+    "relay",
+    "reason",
 )
 REGISTRATION_DEFERRED = define(
-    5003, "registration-deferred", Level.INFO, "relay asked to come back later", "relay", "seconds"
+    5003,
+    "registration-deferred",
+    Level.INFO,
+    "relay asked for a later registration",
+    "relay",
+    "seconds",
 )
 SHARES_CHANGED = define(
-    5010, "shares-changed", Level.INFO, "weights of the groups changed", "version", "groups"
+    5010, "shares-changed", Level.INFO, "group weights changed", "version", "groups"
 )
 BACKEND_READY = define(5020, "backend-ready", Level.INFO, "back end passed its first probe")
 BACKEND_PROBE_CHANGED = define(
-    5021, "backend-probe-changed", Level.WARNING, "health probe changed its answer", "healthy"
+    5021, "backend-probe-changed", Level.WARNING, "health probe result changed", "healthy"
 )
 BACKEND_SILENT = define(
     5023,
     "backend-silent",
     Level.WARNING,
-    "the back end does not answer, calls go elsewhere until it does",
+    "back end does not respond, calls are refused until it does",
     "running",
     "queued",
 )
-BACKEND_BACK = define(5024, "backend-back", Level.INFO, "the back end answers again")
+BACKEND_BACK = define(5024, "backend-back", Level.INFO, "back end responds again")
 BACKEND_ENDED = define(
     5025,
     "backend-ended",
     Level.WARNING,
-    "the back end's process has ended under calls, named by the digests of their requests",
+    "back end process exited while calls were running, listed by request digest",
     "crash",
     "requests",
     "queued",
@@ -43,17 +53,17 @@
     5022,
     "cold-start-limit",
     Level.WARNING,
-    "registered although no health probe passed within the cold start limit",
+    "registered without a passed health probe after the cold start limit",
     "seconds",
 )
 DUPLICATE_ATTEMPT = define(
-    5030, "duplicate-attempt", Level.WARNING, "attempt arrived twice and ran at most once", "peer"
+    5030, "duplicate-attempt", Level.WARNING, "duplicate attempt received and not run again", "peer"
 )
 WRONG_INCARNATION = define(
     5031,
     "wrong-incarnation",
     Level.INFO,
-    "call meant for another incarnation refused",
+    "call for another incarnation refused",
     "peer",
     "incarnation",
 )
@@ -61,21 +71,21 @@
     5032,
     "orphaned-attempts",
     Level.INFO,
-    "a proxy's link closed with calls in flight",
+    "proxy connection closed with calls in flight",
     "peer",
     "dropped",
     "cancelled",
     "left_running",
 )
 DRAIN_STARTED = define(
-    5040, "drain-started", Level.INFO, "drain began", "running", "queued", "limit_seconds"
+    5040, "drain-started", Level.INFO, "drain started", "running", "queued", "limit_seconds"
 )
 DRAIN_FINISHED = define(5041, "drain-finished", Level.INFO, "drain finished", "cut_off")
 CALL_RAN = define(
     5050,
     "call-ran",
     Level.INFO,
-    "the back end answered a call",
+    "back end answered a call",
     "request_id",
     "status",
     "waited_milliseconds",
@@ -87,7 +97,7 @@
     5051,
     "call-not-served",
     Level.INFO,
-    "a call was refused or did not get the back end's answer",
+    "call refused or failed",
     "request_id",
     "kind",
     "outcome",
@@ -102,7 +112,7 @@
     5060,
     "report-refused",
     Level.WARNING,
-    "reports of instances that can't be the one here, or can't be read, were refused",
+    "instance reports refused: invalid or not from the local instance",
     "reason",
     "refused",
 )
--- a/src/limelever/agent/failures.py
+++ b/src/limelever/agent/failures.py
@@ -1,14 +1,16 @@
-"""Why an agent ends a call without the back end's answer; each says whether the call has run."""
+"""Failures of calls that end without a response from the back end."""
 
 from __future__ import annotations
 
 from limelever.common.errors import ErrorKind, Failure
 
-LEAVING = Failure(ErrorKind.DRAINING, "the back end is leaving")
-CUT_OFF = Failure(ErrorKind.BACKEND_FAILED, "cut off at the drain limit")
-CANCELLED = Failure(ErrorKind.CANCELLED, "cancelled while it ran")
-GIVEN_UP = Failure(ErrorKind.DEADLINE_TOO_SHORT, "given up before it was run")
-CRASHED = Failure(ErrorKind.BACKEND_CRASHED, "the back end's process has ended")
-SILENT = Failure(ErrorKind.CONNECTION_FAILED, "the back end does not answer")
-FELL_SILENT = Failure(ErrorKind.BACKEND_FAILED, "the back end fell silent while the call ran")
-TOO_LATE = Failure(ErrorKind.DEADLINE_TOO_SHORT, "too late to finish in time")
+DRAINING = Failure(ErrorKind.DRAINING, "the instance is draining")
+DRAIN_LIMIT_REACHED = Failure(ErrorKind.BACKEND_FAILED, "cancelled at the drain limit")
+CANCELLED = Failure(ErrorKind.CANCELLED, "cancelled while running")
+CANCELLED_BEFORE_START = Failure(ErrorKind.DEADLINE_TOO_SHORT, "cancelled before it was started")
+BACKEND_CRASHED = Failure(ErrorKind.BACKEND_CRASHED, "the back end process exited")
+BACKEND_UNRESPONSIVE = Failure(ErrorKind.CONNECTION_FAILED, "the back end does not answer")
+BECAME_UNRESPONSIVE = Failure(
+    ErrorKind.BACKEND_FAILED, "the back end stopped responding while the call ran"
+)
+CANNOT_MEET_DEADLINE = Failure(ErrorKind.DEADLINE_TOO_SHORT, "cannot finish in time")
--- a/src/limelever/agent/health_answer.py
+++ b/src/limelever/agent/health_response.py
@@ -1,4 +1,4 @@
-"""What a back end's answer to a health probe says of it."""
+"""Reads the identity of an instance from its response to a health probe."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from limelever.common.http_messages import HttpAnswer
 
 
-class FoundInstance(Struct, frozen=True):
-    """The instance that answered; ``slots`` 0 where it doesn't tell."""
+class InstanceIdentity(Struct, frozen=True):
+    """Name and slots of an instance; ``slots`` is 0 if not stated."""
 
     instance: str
     slots: int = 0
 
 
-def instance_in(answer: HttpAnswer, names: HeaderNames) -> FoundInstance | None:
-    """Return the instance that answered that it is well; ``None`` for any other answer."""
+def parse_instance_identity(answer: HttpAnswer, names: HeaderNames) -> InstanceIdentity | None:
+    """Return the identity of a healthy instance; ``None`` for any other response."""
     headers = tuple((name.lower(), value) for name, value in answer.headers)
     instance = value_of(headers, names.instance).decode("ascii", "replace")
     if not 200 <= answer.status < 300 or not instance:
         return None
-    return FoundInstance(instance, slots_in(headers, names))
+    return InstanceIdentity(instance, slots_in(headers, names))
--- a/src/limelever/agent/intake.py
+++ b/src/limelever/agent/intake.py
@@ -8,8 +8,12 @@
 
 from limelever.agent import events
 from limelever.agent.body_credit import BodyCredit, Grant
+from limelever.agent.call_validation import (
+    validate_attempt_id,
+    validate_body_size,
+    validate_call_start,
+)
 from limelever.agent.calls import Call, CallStage, CallTable, RecentAttempts
-from limelever.agent.start_checks import check_attempt, check_body, check_start
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import ConnectionId, LogEvent
 from limelever.protocol.calls_pb2 import CallBody, CallStart
@@ -97,7 +101,7 @@
 
     def check_body(self, call: Call) -> Failure | None:
         """Return why the body that a call has so far finds no room."""
-        return check_body(
+        return validate_body_size(
             len(call.body),
             self._max_body_bytes,
             self._assembling_bytes,
@@ -140,14 +144,14 @@
         return [call for call in self._assembling.values() if call.deadline <= now]
 
     def _check(self, connection: ConnectionId, start: CallStart, draining: bool) -> Failure | None:
-        failure = check_attempt(start, self._recent)
+        failure = validate_attempt_id(start, self._recent)
         if failure is not None:
             return failure
         self._recent.add(start.attempt_id)
         if draining:
             return Failure(ErrorKind.DRAINING, "the back end is leaving")
         stream_in_use = self._calls.by_stream(connection, start.stream) is not None
-        return check_start(start, self._service, stream_in_use, self._max_body_bytes)
+        return validate_call_start(start, self._service, stream_in_use, self._max_body_bytes)
 
     def _wrong_incarnation(self, peer: str, start: CallStart) -> Refusal:
         failure = Failure(ErrorKind.WRONG_INCARNATION, f"this is incarnation {self._incarnation}")
--- a/src/limelever/agent/interface.py
+++ b/src/limelever/agent/interface.py
@@ -1,7 +1,7 @@
-"""What the agent core and its shell say to each other, besides the shared sans-io contract.
+"""Events and outputs between the agent core and the process that performs its I/O.
 
-The shell carries attempts to the back end beside it; attempt numbers are drawn by the core
-and never reused within a process.
+They extend the general ones of ``common.sansio``. The core numbers attempts and never reuses a
+number within a process.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class StartAttempt(Output, frozen=True):
-    """Send one request to the back end; answered by one ``AttemptAnswered`` or ``AttemptFailed``.
+    """Send a request to the back end; ends in one ``AttemptAnswered`` or ``AttemptFailed``.
 
-    ``timeout`` is in seconds, counted from now. ``tenant`` is the name of the caller's tenant,
-    empty for none.
+    ``timeout`` is in seconds from now. ``tenant`` is the name of the caller's tenant, empty if
+    there is none.
     """
 
     attempt: int
@@ -33,30 +33,31 @@
 
 
 class CancelAttempt(Output, frozen=True):
-    """Close the request at the back end; the attempt still ends with its one event."""
+    """Cancel a request to the back end; the attempt still ends with one event."""
 
     attempt: int
 
 
 class CheckBackend(Output, frozen=True):
-    """Try whether a new connection to the back end opens; answered by ``BackendChecked``.
+    """Check whether a new connection to the back end opens; answered by ``BackendChecked``.
 
-    Idle connections are closed first if they may have been silenced.
+    ``close_idle`` closes idle connections first, since they may be dead.
     """
 
     close_idle: bool = True
 
 
 class DrainFinished(Output, frozen=True):
-    """The agent may stop; ``cut_off`` attempts were still running at the drain limit."""
+    """The agent may stop; ``cut_off`` attempts were still running and were cancelled."""
 
     cut_off: int
 
 
 class AttemptAnswered(Event, frozen=True):
-    """The back end's whole answer, and how long it says that work takes there now.
+    """The back end's complete response.
 
-    ``pace_permille`` is 1000 as usual, 0 if not told.
+    ``pace_permille`` is the service time that the back end reports, in thousandths of its usual
+    one; 0 if not reported.
     """
 
     attempt: int
@@ -67,11 +68,11 @@
 
 
 class AttemptFailed(Event, frozen=True):
-    """The attempt ended without a whole answer.
+    """The attempt ended without a complete response.
 
-    ``sent_any_byte`` is false only when no byte of the request can have reached the back end, and
-    ``refused`` true when the back end itself stated that it did not run the request.
-    ``connection_ended`` says that the back end's side of the connection ended before its answer.
+    ``sent_any_byte`` is false only if no byte of the request can have reached the back end.
+    ``refused`` is true if the back end stated that it did not run the request, and
+    ``connection_ended`` if the back end closed the connection before it responded.
     """
 
     attempt: int
@@ -81,61 +82,61 @@
     connection_ended: bool = False
 
     @property
-    def by_backend(self) -> bool:
-        """Whether the back end is to blame that the attempt brought no answer."""
+    def backend_at_fault(self) -> bool:
+        """Return whether the failure counts as one of the back end."""
         cancelled = self.failure.kind is ErrorKind.CANCELLED
         return self.sent_any_byte and not self.refused and not cancelled
 
 
 class BackendProbed(Event, frozen=True):
-    """Result of one health probe; holds back the first registration, ends no call."""
+    """Result of a health probe; delays the first registration but does not affect calls."""
 
     healthy: bool
 
 
-class BackendReach(Enum):
-    """What became of a new connection to the back end: ``SILENT`` if nothing within its time."""
+class ConnectResult(Enum):
+    """Result of opening a new connection to the back end."""
 
     OPENED = "opened"
     REFUSED = "refused"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
 class BackendChecked(Event, frozen=True):
-    """A new connection to the back end was tried."""
+    """Result of the connection check that ``CheckBackend`` requested."""
 
-    reach: BackendReach
+    result: ConnectResult
 
 
 class ConfigurationShared(Event, frozen=True):
-    """A configuration that the process keeps for itself is in force, and serves its agent too."""
+    """The process installed a configuration that its agent uses as well."""
 
     version: int
     configuration: ConfigurationSet
 
 
 class RelaysShared(Event, frozen=True):
-    """The process was told of the relays, on a subscription that serves its agent too."""
+    """The process received a list of relays that its agent uses as well."""
 
     received: PublishersReceived
 
 
 class BackendGone(Event, frozen=True):
-    """The back end has ended or another has taken its place: nothing more comes of it."""
+    """The back end has exited or was replaced by another process."""
 
 
 class DrainRequested(Event, frozen=True):
-    """A planned stop begins."""
+    """Start a graceful shutdown."""
 
 
 class DrainLimitReached(Event, frozen=True):
-    """The process ends now, whatever time the drain would have left."""
+    """Stop at once, even if the drain has time left."""
 
 
 class VersionKnown(Event, frozen=True):
-    """The version of the back end's software has become known after the agent's start.
+    """The version of the back end's software became known after the agent's start.
 
-    ``warm_up_left`` is for how many seconds the back end is slow after its own start.
+    ``warm_up_left`` is the remaining warm-up time of the back end in seconds.
     """
 
     version: str
--- a/src/limelever/agent/process.py
+++ b/src/limelever/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent process: a thin shell around the agent core and the back end's client."""
+"""The agent process: runs the agent core, the back end client and the health probe."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from limelever.transport.runner import CoreRunner
 
 _FLUSH_SECONDS = 0.2
-"""Time that last answers have to leave after the core has finished."""
+"""Time to send the last messages after the core has finished."""
 
 _INCARNATION_FILE = "incarnation"
 _INCARNATION_BYTES = 8
@@ -41,21 +41,21 @@
 
 
 def run(settings: AgentSettings, *, source: SettingsFile | None = None) -> int:
-    """Run the agent until a planned stop or a failure; return the exit status."""
+    """Run the agent until it is stopped or fails; return the exit status."""
     disk = open_folder(settings.data_folder) if settings.data_folder else None
-    incarnation = draw_incarnation(disk) if not isinstance(disk, Failure) else disk
+    incarnation = next_incarnation(disk) if not isinstance(disk, Failure) else disk
     main = partial(_main, settings, disk, incarnation)
     if isinstance(incarnation, Failure):
         return run_role(settings, main)
     return run_role(settings, main, incarnation=incarnation, source=source)
 
 
-def draw_incarnation(disk: FolderDisk | None) -> int | Failure:
-    """Return an incarnation above that of earlier runs: the time in Unix milliseconds.
+def next_incarnation(disk: FolderDisk | None) -> int | Failure:
+    """Return an incarnation higher than in earlier runs: the Unix time in milliseconds.
 
-    With a data folder it is also above the last one kept there, should the clock have been
-    set back. Without one a clock set back keeps a restarted agent out until the relays have
-    forgotten its earlier run.
+    With a data folder it also exceeds the last one stored there, in case the clock was set back.
+    Without one, an agent that restarts after such a change is not registered until the relays
+    have dropped its earlier run.
     """
     now = time.time_ns() // _NANOSECONDS_PER_MILLISECOND
     if disk is None:
@@ -67,12 +67,12 @@
     return incarnation if failure is None else failure
 
 
-def options_from(
+def build_agent_options(
     settings: AgentSettings, address: Address, subscriber: SubscriberSettings | None
 ) -> AgentOptions:
-    """Return the core's options; ``address`` is where proxies reach the agent.
+    """Return the core's options; ``address`` is where proxies connect to the agent.
 
-    Without a ``subscriber`` the process gives the core its own configuration.
+    Without a ``subscriber`` the process passes its own configuration to the core.
     """
     queue, drain = settings.queue, settings.drain
     return AgentOptions(
@@ -108,9 +108,9 @@
     )
 
 
-def with_pauses(options: AgentOptions, pauses: BackoffSettings) -> AgentOptions:
-    """Return the options with these pauses between attempts to register."""
-    return replace(options, registration=replace(options.registration, backoff=pauses))
+def with_registration_backoff(options: AgentOptions, backoff: BackoffSettings) -> AgentOptions:
+    """Return the options with this backoff between registration attempts."""
+    return replace(options, registration=replace(options.registration, backoff=backoff))
 
 
 def _subscriber_settings(settings: AgentSettings) -> SubscriberSettings:
@@ -129,7 +129,7 @@
         raise ProcessFailedError(incarnation)
     bound = await shell.listen(settings.listen)
     core = AgentCore(
-        options_from(settings, settings.advertise or bound, _subscriber_settings(settings)),
+        build_agent_options(settings, settings.advertise or bound, _subscriber_settings(settings)),
         incarnation,
         random.Random(),
         disk.recovered if disk is not None else Recovered(),
--- a/src/limelever/agent/registration.py
+++ b/src/limelever/agent/registration.py
@@ -1,8 +1,8 @@
-"""Registration of the back end at a relay of its zone, under a lease that is renewed.
+"""Registers the back end at a relay of its zone and renews the lease.
 
-The component dials one relay at a time. A relay that cannot be dialled, closes the link or
-leaves renewals unanswered is left for the next one of the list, after a full-jitter delay so
-that the agents of a dead relay do not arrive at the next one in a herd.
+One relay is used at a time. If it cannot be reached, closes the connection or does not answer
+renewals, the next one of the list is tried after a delay with full jitter, which prevents a
+thundering herd when all agents of a failed relay reconnect.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from msgspec import Struct
 
 from limelever.agent import events
+from limelever.agent.endpoint_messages import EndpointMessages
 from limelever.agent.load_reports import LoadReports
-from limelever.agent.own_endpoint import OwnEndpoint
 from limelever.common.backoff import Backoff, BackoffSettings
 from limelever.common.sansio import (
     Address,
@@ -48,20 +48,21 @@
 from limelever.subscriber.notices import PublishersReceived
 
 RENEWALS_PER_LEASE = 3
-"""Two renewals may be lost before the lease ends."""
+"""Renewals sent per lease, so that two may be lost before the lease expires."""
 
-UNTOLD_LIMIT = 8
-"""Ends of the back end that wait for a lease; the proxies of its calls tell of them as well."""
+MAX_PENDING_CRASH_REPORTS = 8
+"""Crash reports kept until there is a lease; proxies report the same crashes too."""
 
-OWN_ZONE = "another relay is preferred"
-_MILLISECONDS = 1000.0
-_SHORTEST_LEASE = 0.3
+PREFERRED_RELAY_AVAILABLE = "another relay is preferred"
+_MILLISECONDS_PER_SECOND = 1000.0
+_MIN_LEASE_SECONDS = 0.3
 
 
 class RegistrationSettings(Struct, frozen=True):
-    """What is registered and where; ``answer_timeout`` in seconds, ``version`` of the software.
+    """The endpoint to register, and the relays to register it at.
 
-    The first of ``relays`` is tried first: it is listed first because its zone is the agent's.
+    Relays are tried in order; those of the agent's own zone come first. ``answer_timeout`` is in
+    seconds, and ``version`` is that of the back end's software.
     """
 
     relays: tuple[Address, ...]
@@ -76,8 +77,8 @@
 
 
 class _Phase(Enum):
-    HELD_BACK = auto()
-    WAITING = auto()
+    NOT_STARTED = auto()
+    BACKING_OFF = auto()
     DIALLING = auto()
     REGISTERING = auto()
     LEASED = auto()
@@ -85,9 +86,9 @@
 
 
 class Registration:
-    """Keeps one endpoint registered; sans-io component of the agent core.
+    """Keeps one endpoint registered; sans-I/O component of the agent core.
 
-    ``incarnation`` must be higher than that of any earlier run of the same instance.
+    ``incarnation`` must be higher than in any earlier run of the same instance.
     """
 
     def __init__(
@@ -102,96 +103,98 @@
         self._connections = connections
         self._backoff = Backoff(settings.backoff, generator)
         self._relays = settings.relays
-        self._relay = 0
-        self._phase = _Phase.HELD_BACK
-        self._endpoint = OwnEndpoint(_endpoint_of(settings, incarnation))
+        self._relay_index = 0
+        self._phase = _Phase.NOT_STARTED
+        self._endpoint = EndpointMessages(_endpoint_of(settings, incarnation))
         self._in_flight = 0
-        self._loads = LoadReports()
+        self._load_reports = LoadReports()
         self._connection: ConnectionId | None = None
         self._due: float | None = None
         self._lease = 0.0
-        self._heard_at = 0.0
-        self._untold: deque[CrashNews] = deque(maxlen=UNTOLD_LIMIT)
+        self._granted_at = 0.0
+        self._pending_crash_reports: deque[CrashNews] = deque(maxlen=MAX_PENDING_CRASH_REPORTS)
 
     @property
     def leased(self) -> bool:
-        """Return whether a relay holds the endpoint now."""
+        """Return whether the endpoint holds a lease."""
         return self._phase is _Phase.LEASED
 
     @property
     def relay(self) -> Address:
-        """Return the relay used or tried now."""
-        return self._relays[self._relay]
+        """Return the address of the relay in use or being tried."""
+        return self._relays[self._relay_index]
 
     def extend_relays(self, relays: tuple[Address, ...]) -> None:
-        """Choose among these relays besides."""
+        """Add relays to choose from."""
         self._relays = tuple(dict.fromkeys((*self._relays, *relays)))
 
     def replace_relays(self, received: PublishersReceived, now: float) -> list[Output]:
-        """Choose among these relays from now on; the one used now stays while it answers.
+        """Replace the list of relays; the current one stays in use while it answers.
 
-        But the endpoint is registered where its zone's proxies hear of its load first.
+        If another relay is preferred, the endpoint is registered there instead: the proxies of its
+        zone receive load reports from the preferred relay first.
         """
         relays, current = received.addresses, self.relay
         self._relays = relays if current in relays else (*relays, current)
-        self._relay = self._relays.index(current)
+        self._relay_index = self._relays.index(current)
         if not self.leased or received.preferred in (None, current):
             return []
-        outputs = self._hang_up(OWN_ZONE)
-        self._relay = self._relays.index(received.preferred)
+        outputs = self._close_connection(PREFERRED_RELAY_AVAILABLE)
+        self._relay_index = self._relays.index(received.preferred)
         return [*outputs, *self._dial(now)]
 
     def owns(self, connection: ConnectionId) -> bool:
-        """Return whether the link is the one to the relay."""
+        """Return whether this is the connection to the relay."""
         return connection == self._connection
 
     def next_deadline(self) -> float | None:
-        """Return when ``DeadlineReached`` is wanted (seconds, monotonic)."""
-        report_due = self._loads.next_deadline() if self.leased else None
+        """Return when the next ``DeadlineReached`` is needed (monotonic seconds)."""
+        report_due = self._load_reports.next_deadline() if self.leased else None
         if self._due is None or report_due is None:
             return report_due if self._due is None else self._due
         return min(self._due, report_due)
 
-    def begin(self, now: float) -> list[Output]:
-        """Register from now on; no effect when that has begun already."""
-        if self._phase is not _Phase.HELD_BACK:
+    def start(self, now: float) -> list[Output]:
+        """Start registering; no effect if already started."""
+        if self._phase is not _Phase.NOT_STARTED:
             return []
         return self._dial(now)
 
     def report_load(self, in_flight: int, load: int, now: float, pace: int = 0) -> list[Output]:
-        """Take the calls that run, for the next renewal, and all that are here, told at changes.
+        """Update the load, and return a report to the relay if it has changed enough.
 
-        So is the ``pace``, how long work takes at the back end now, in thousandths of the usual.
+        ``in_flight`` is sent with the next renewal. ``pace`` is the back end's current service
+        time in thousandths of the usual.
         """
         self._in_flight = in_flight
         if not self.leased or self._connection is None:
             return []
-        report = self._loads.take(load, now, pace)
+        report = self._load_reports.take(load, now, pace)
         return [SendMessage(self._connection, report)] if report is not None else []
 
-    def tell_crashes(self, news: Sequence[CrashNews], now: float) -> list[Output]:
-        """Tell the relay under which requests the back end has ended, once there is a lease."""
-        self._untold.extend(news)
+    def report_crashes(self, crashes: Sequence[CrashNews], now: float) -> list[Output]:
+        """Report the requests that ran when the back end crashed, as soon as there is a lease."""
+        self._pending_crash_reports.extend(crashes)
         if not self.leased or self._connection is None:
             return []
-        connection, told = self._connection, tuple(self._untold)
-        self._untold.clear()
-        return [SendMessage(connection, each) for each in told]
+        connection, reports = self._connection, tuple(self._pending_crash_reports)
+        self._pending_crash_reports.clear()
+        return [SendMessage(connection, each) for each in reports]
 
-    def tell_tally(self, tally: VersionTally) -> list[Output]:
-        """Tell the relay how the calls of a version under trial have ended."""
+    def report_version_tally(self, tally: VersionTally) -> list[Output]:
+        """Report the outcomes of calls to the version that is being rolled out."""
         if not self.leased or self._connection is None:
             return []
         return [SendMessage(self._connection, tally)]
 
-    def take_version(self, version: str) -> list[Output]:
-        """Tell the version of the back end's software, which was not known before."""
-        self._endpoint.take_version(version)
+    def set_version(self, version: str) -> list[Output]:
+        """Set the version of the back end's software and register it."""
+        self._endpoint.set_version(version)
         registered = self._phase in (_Phase.LEASED, _Phase.REGISTERING)
         return [self._register()] if registered else []
 
     def change_state(self, state: EndpointState.ValueType, now: float) -> list[Output]:
-        """Take a new state and tell the relay at once."""
+        """Change the endpoint's state and report it at once."""
         self._endpoint.state = state
         if self._phase is _Phase.LEASED:
             return self._renew(now)
@@ -199,8 +202,8 @@
             return [self._register()]
         return []
 
-    def end(self, now: float) -> list[Output]:
-        """Tell the relay that the endpoint is gone, close the link and dial no more."""
+    def stop(self, now: float) -> list[Output]:
+        """Report the endpoint as gone, close the connection and stop for good."""
         outputs = self.change_state(ENDPOINT_STATE_GONE, now)
         if self._connection is not None:
             outputs.append(CloseConnection(self._connection, "the agent stops"))
@@ -210,70 +213,70 @@
         return outputs
 
     def handle(self, event: Event, now: float) -> list[Output]:
-        """Take one event; those of foreign links are ignored."""
+        """Process one event; those of other connections are ignored."""
         match event:
             case ConnectionOpened(connection) if self.owns(connection):
-                return self._opened(now)
+                return self._start_registering(now)
             case ConnectionFailed(connection, failure) if self.owns(connection):
-                return self._move(now, str(failure))
+                return self._try_next_relay(now, str(failure))
             case ConnectionClosed(connection, reason) if self.owns(connection):
-                return self._move(now, reason)
+                return self._try_next_relay(now, reason)
             case MessageReceived(connection, message) if self.owns(connection):
-                return self._received(message, now)
+                return self._handle_message(message, now)
             case DeadlineReached() if self._due is not None and now >= self._due:
-                return self._timed(now)
+                return self._deadline_passed(now)
         return []
 
-    def _opened(self, now: float) -> list[Output]:
+    def _start_registering(self, now: float) -> list[Output]:
         self._phase = _Phase.REGISTERING
         self._due = now + self._settings.answer_timeout
         return [self._register()]
 
-    def _received(self, message: object, now: float) -> list[Output]:
+    def _handle_message(self, message: object, now: float) -> list[Output]:
         match message:
             case LeaseGranted():
-                return self._granted(message, now)
+                return self._lease_granted(message, now)
             case LeaseLost():
-                return self._lost(message, now)
+                return self._lease_lost(message, now)
             case RetryLater():
                 return self._defer(message, now)
         return []
 
-    def _granted(self, message: LeaseGranted, now: float) -> list[Output]:
+    def _lease_granted(self, message: LeaseGranted, now: float) -> list[Output]:
         if message.incarnation != self._incarnation:
             return []
         first = self._phase is not _Phase.LEASED
         self._phase = _Phase.LEASED
-        self._lease = max(message.lease_ms / _MILLISECONDS, _SHORTEST_LEASE)
-        self._heard_at = now
+        self._lease = max(message.lease_ms / _MILLISECONDS_PER_SECOND, _MIN_LEASE_SECONDS)
+        self._granted_at = now
         self._backoff.reset()
         if not first:
             return []
         self._due = now + self._lease / RENEWALS_PER_LEASE
         fields: dict[str, object] = {"relay": str(self.relay), "lease_ms": message.lease_ms}
-        return [LogEvent(events.LEASE_GRANTED, fields), *self.tell_crashes((), now)]
+        return [LogEvent(events.LEASE_GRANTED, fields), *self.report_crashes((), now)]
 
-    def _lost(self, message: LeaseLost, now: float) -> list[Output]:
+    def _lease_lost(self, message: LeaseLost, now: float) -> list[Output]:
         if message.incarnation != self._incarnation:
             return []
         fields: dict[str, object] = {"relay": str(self.relay), "reason": message.reason}
-        return [LogEvent(events.LEASE_LOST, fields), *self._opened(now)]
+        return [LogEvent(events.LEASE_LOST, fields), *self._start_registering(now)]
 
     def _defer(self, message: RetryLater, now: float) -> list[Output]:
-        delay = self._backoff.next_delay(message.retry_after_ms / _MILLISECONDS)
+        delay = self._backoff.next_delay(message.retry_after_ms / _MILLISECONDS_PER_SECOND)
         fields: dict[str, object] = {"relay": str(self.relay), "seconds": delay}
         outputs: list[Output] = [LogEvent(events.REGISTRATION_DEFERRED, fields)]
-        outputs.extend(self._hang_up("told to come back later"))
-        self._wait(now + delay)
+        outputs.extend(self._close_connection("the relay asked for a later retry"))
+        self._schedule_dial(now + delay)
         return outputs
 
-    def _timed(self, now: float) -> list[Output]:
-        if self._phase is _Phase.WAITING:
+    def _deadline_passed(self, now: float) -> list[Output]:
+        if self._phase is _Phase.BACKING_OFF:
             return self._dial(now)
-        if self._phase is _Phase.LEASED and now < self._heard_at + self._lease:
+        if self._phase is _Phase.LEASED and now < self._granted_at + self._lease:
             return self._renew(now)
         reason = "the relay does not answer"
-        return [*self._hang_up(reason), *self._move(now, reason)]
+        return [*self._close_connection(reason), *self._try_next_relay(now, reason)]
 
     def _dial(self, now: float) -> list[Output]:
         self._phase = _Phase.DIALLING
@@ -281,18 +284,18 @@
         self._due = now + 2 * self._settings.answer_timeout
         return [OpenConnection(self._connection, self.relay, Purpose.REGISTRATION)]
 
-    def _move(self, now: float, reason: str) -> list[Output]:
+    def _try_next_relay(self, now: float, reason: str) -> list[Output]:
         fields: dict[str, object] = {"relay": str(self.relay), "reason": reason}
-        self._relay = (self._relay + 1) % len(self._relays)
-        self._wait(now + self._backoff.next_delay())
+        self._relay_index = (self._relay_index + 1) % len(self._relays)
+        self._schedule_dial(now + self._backoff.next_delay())
         return [LogEvent(events.REGISTRATION_MOVED, fields)]
 
-    def _wait(self, until: float) -> None:
-        self._phase = _Phase.WAITING
+    def _schedule_dial(self, until: float) -> None:
+        self._phase = _Phase.BACKING_OFF
         self._connection = None
         self._due = until
 
-    def _hang_up(self, reason: str) -> list[Output]:
+    def _close_connection(self, reason: str) -> list[Output]:
         if self._connection is None:
             return []
         return [CloseConnection(self._connection, reason)]
--- a/src/limelever/agent/settings.py
+++ b/src/limelever/agent/settings.py
@@ -18,16 +18,16 @@
     not_empty,
 )
 
-MOST_SLOTS = 1024
-"""Calls that a back end may run at once; a choice, far above what is in use."""
+MAX_SLOTS = 1024
+"""Upper limit of concurrent calls at a back end."""
 
 
 @attrs.frozen(kw_only=True)
 class BackendSettings:
-    """The back end beside the agent and how it is reached."""
+    """Address and limits of the local back end."""
 
     address: Address = attrs.field(validator=dialled)
-    slots: int = attrs.field(default=6, validator=between(1, MOST_SLOTS))
+    slots: int = attrs.field(default=6, validator=between(1, MAX_SLOTS))
     connections: int = attrs.field(default=130, validator=between(1, 4096))
     connect_timeout_ms: int = attrs.field(default=1000, validator=between(10, 60000))
     keepalive_ms: int = attrs.field(default=30000, validator=between(0, 3600000))
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeSettings:
-    """The health probe; it only holds back the first registration."""
+    """The health probe, which only delays the first registration."""
 
     path: str = attrs.field(default="/healthz", validator=not_empty)
     interval_ms: int = attrs.field(default=1000, validator=between(50, 60000))
@@ -46,9 +46,9 @@
 
 @attrs.frozen(kw_only=True)
 class QueueSettings:
-    """Bounds of what waits for a slot and of single bodies.
+    """Limits of queued calls and of request bodies.
 
-    ``link_rate_bytes`` is what the machine's link takes in a second; 0 if that is not known.
+    ``link_rate_bytes`` is the capacity of the machine's link per second; 0 if unknown.
     """
 
     group_calls: int = attrs.field(default=64, validator=between(1, 10000))
@@ -61,7 +61,7 @@
 
 @attrs.frozen(kw_only=True)
 class DrainSettings:
-    """A planned stop: ``queue_ms`` and ``linger_ms`` count from its beginning."""
+    """Graceful shutdown: ``limit_ms`` and ``queue_ms`` count from its start."""
 
     limit_ms: int = attrs.field(default=25000, validator=between(0, 3600000))
     queue_ms: int = attrs.field(default=2000, validator=between(0, 60000))
@@ -70,7 +70,7 @@
 
 @attrs.frozen(kw_only=True)
 class AgentSettings(ProcessSettings):
-    """Settings of one agent, which stands beside one instance of one service."""
+    """Settings of one agent, which serves one instance of one service."""
 
     ROLE: ClassVar[Role] = Role.AGENT
     CLASHES: ClassVar[tuple[Clash, ...]] = (
--- a/src/limelever/node/agents.py
+++ b/src/limelever/node/agents.py
@@ -18,7 +18,7 @@
 
 from limelever.agent.backend import Backend
 from limelever.agent.core import AgentCore
-from limelever.agent.health_answer import FoundInstance
+from limelever.agent.health_response import InstanceIdentity
 from limelever.agent.interface import (
     BackendGone,
     ConfigurationShared,
@@ -28,7 +28,7 @@
     RelaysShared,
     VersionKnown,
 )
-from limelever.agent.process import options_from, with_pauses
+from limelever.agent.process import build_agent_options, with_registration_backoff
 from limelever.agent.settings import AgentSettings
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import Address, Event, Output, Purpose, Role
@@ -143,7 +143,7 @@
         settings = self._settings
         names = settings.headers.names()
         backend = Backend(settings.backend, self._nursery, lambda _: None, names)
-        found: FoundInstance | None = None
+        found: InstanceIdentity | None = None
         while found is None and not self._watch.instance and not self._stopping:
             found = await backend.find_instance(path, LOOK_TIMEOUT)
             if found is None:
@@ -197,8 +197,9 @@
     async def _run(self, settings: AgentSettings, report: InstanceReport) -> None:
         instance, warm_up_left = report.instance, report.warm_up_left
         incarnation = time.time_ns() // _NANOSECONDS_PER_MILLISECOND
-        options = with_pauses(
-            options_from(settings, self._settings.listen, None), dialling_pauses(self._settings)
+        options = with_registration_backoff(
+            build_agent_options(settings, self._settings.listen, None),
+            dialling_pauses(self._settings),
         )
         core = AgentCore(options, incarnation, random.Random())
         finished = trio.Event()
--- a/src/limelever/node/settings.py
+++ b/src/limelever/node/settings.py
@@ -8,7 +8,7 @@
 import attrs
 
 from limelever.agent.settings import (
-    MOST_SLOTS,
+    MAX_SLOTS,
     AgentSettings,
     BackendSettings,
     DrainSettings,
@@ -101,7 +101,7 @@
     endpoint, so that no clock has to tell which of the two is newer. What the instance reports
     takes the place of probes; of slots, no more than the settings could name are used.
     """
-    slots = min(report.slots or settings.backend.slots, MOST_SLOTS)
+    slots = min(report.slots or settings.backend.slots, MAX_SLOTS)
     return AgentSettings(
         role=Role.AGENT,
         name=name,
--- a/src/limelever_lab/hollow/agent_node.py
+++ b/src/limelever_lab/hollow/agent_node.py
@@ -51,7 +51,7 @@
         """Take one event at ``now`` (seconds, monotonic)."""
         if isinstance(event, Restart):
             return self._restart(now)
-        outputs = self._registration.begin(now) if isinstance(event, Started) else []
+        outputs = self._registration.start(now) if isinstance(event, Started) else []
         outputs.extend(self._registration.handle(event, now))
         for output in self._subscriber.handle(event, now):
             if not isinstance(output, _NOTICES):
@@ -64,10 +64,10 @@
         return min((at for at in times if at is not None), default=None)
 
     def _restart(self, now: float) -> list[Output]:
-        outputs = self._registration.end(now)
+        outputs = self._registration.stop(now)
         self._incarnation += 1
         self._registration = self._new_registration()
-        return [*outputs, *self._registration.begin(now)]
+        return [*outputs, *self._registration.start(now)]
 
     def _new_registration(self) -> Registration:
         return Registration(self._settings, self._incarnation, self._connections, self._generator)
