--- a/features/agent/back_end_crashes.feature
+++ b/features/agent/back_end_crashes.feature
@@ -1,25 +1,25 @@
-Feature: An agent tells the end of its back end's process from connections that merely broke
+Feature: An agent distinguishes a crash of its back end from broken connections
 
   Background:
     Given a registered agent with 3 slots and a proxy
     And the agent's back end has answered a call after 0.1 seconds
 
-  Scenario: All connections break and new ones are refused: the process has ended under its calls
+  Scenario: The process has crashed if all connections break and new ones are refused
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent gets a call on agent stream 3 with 10 seconds left
     And the connections of agent streams 2 and 3 end
-    Then the agent has tried 1 connections
+    Then the agent has made 1 connection checks
     And agent stream 2 has no answer yet
     When a connection to the agent's back end is refused
     Then agent stream 2 has failed with backend-crashed
     And agent stream 3 has failed with backend-crashed
-    And both were told one crash, and the relay was told it with both requests
+    And both failures have one crash number, which the relay received with both requests
     When the agent gets a call on agent stream 4 with 10 seconds left
     Then agent stream 4 has failed with connection-failed
     When 0.1 seconds pass at the agent
     Then the last load that the agent reported is 255
 
-  Scenario: It is there again once a connection opens, and not while connections are refused
+  Scenario: Calls are refused until a new connection opens
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the connection of agent stream 2 ends
     And a connection to the agent's back end is refused
@@ -30,25 +30,25 @@
     When 0.25 seconds pass at the agent
     And a connection to the agent's back end opens
     And the agent gets a call on agent stream 4 with 10 seconds left
-    Then the agent's back end has been asked for agent stream 4
+    Then the agent's back end received the request of agent stream 4
 
-  Scenario: A connection that breaks beside a process that goes on is no crash
+  Scenario: A broken connection is no crash while the process is running
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the connection of agent stream 2 ends
     And a connection to the agent's back end opens
     Then agent stream 2 has failed with backend-failed
-    And the relay was told of no crash
+    And no crash was reported to the relay
 
-  Scenario: A full back end that refuses connections while others run has not ended
+  Scenario: An overloaded back end that refuses connections while calls run has not crashed
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent gets a call on agent stream 3 with 10 seconds left
     And the connection of agent stream 2 ends
     And connections to the agent's back end are refused for 0.3 seconds
     Then agent stream 2 has failed with backend-failed
     And agent stream 3 has no answer yet
-    And the relay was told of no crash
+    And no crash was reported to the relay
 
-  Scenario: The others' connections break a moment later
+  Scenario: A crash is detected when the other connections break a moment later
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent gets a call on agent stream 3 with 10 seconds left
     And the connection of agent stream 2 ends
@@ -57,74 +57,74 @@
     And 0.03 seconds pass at the agent
     And a connection to the agent's back end is refused
     Then agent stream 2 has failed with backend-crashed
-    And both were told one crash, and the relay was told it with both requests
+    And both failures have one crash number, which the relay received with both requests
 
-  Scenario: A call that its caller left just before is a suspect as well
+  Scenario: A call that was cancelled shortly before the crash is a suspect
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent gets a call on agent stream 3 with 10 seconds left
-    And the proxy cancels agent stream 2, which its back end has begun
+    And the proxy cancels agent stream 2 while it runs at the back end
     And the connection of agent stream 3 ends
     And a connection to the agent's back end is refused
-    Then the relay was told of a crash with the requests of agent streams 2 and 3
+    Then a crash was reported to the relay with the requests of agent streams 2 and 3
 
-  Scenario: The only call had been left by its caller: the next connection that is refused tells
+  Scenario: A crash under a cancelled call is detected by the next refused connection
     When the agent gets a call on agent stream 2 with 10 seconds left
-    And the proxy cancels agent stream 2, which its back end has begun
+    And the proxy cancels agent stream 2 while it runs at the back end
     And 0.2 seconds pass at the agent
     And the agent gets a call on agent stream 3 with 10 seconds left
     And no connection opens for agent stream 3
     Then agent stream 3 has failed with connection-failed
     When a connection to the agent's back end is refused
-    Then the relay was told of a crash with the requests of agent streams 2 and 2
+    Then a crash was reported to the relay with the requests of agent streams 2 and 2
 
-  Scenario: A back end that ended idle is found once, and calls go elsewhere from then on
+  Scenario: The exit of an idle back end is no crash, and further calls are refused
     When 5 seconds pass at the agent
     And the agent gets a call on agent stream 2 with 10 seconds left
     And no connection opens for agent stream 2
     And a connection to the agent's back end is refused
-    Then the relay was told of no crash
+    Then no crash was reported to the relay
     When the agent gets a call on agent stream 3 with 10 seconds left
     Then agent stream 3 has failed with connection-failed
     And the last load that the agent reported is 255
 
-  Scenario: While it isn't known, no further call is lost
+  Scenario: No further call is started until the state of the process is known
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the connection of agent stream 2 ends
     And the agent gets a call on agent stream 3 with 10 seconds left
     And a connection to the agent's back end is refused
     Then agent stream 3 has failed with connection-failed
 
-  Scenario: A back end that leaves as planned has not crashed
+  Scenario: A back end that exits after its drain has not crashed
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent begins to drain
     And 2 seconds pass at the agent
     And the connection of agent stream 2 ends
     And a connection to the agent's back end is refused
     Then agent stream 2 has failed with backend-failed
-    And the relay was told of no crash
+    And no crash was reported to the relay
 
-  Scenario: One that ends while it should still finish its calls has
+  Scenario: A back end that exits early during its drain has crashed
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent begins to drain
     And 0.5 seconds pass at the agent
     And the connection of agent stream 2 ends
     And a connection to the agent's back end is refused
     Then agent stream 2 has failed with backend-crashed
-    And the relay was told of a crash with the requests of agent streams 2 and 2
+    And a crash was reported to the relay with the requests of agent streams 2 and 2
 
-  Scenario: A process whose end was slept through is known by its successor
+  Scenario: A crash that was missed is reported when the next process registers
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the connection of agent stream 2 ends
     And a connection to the agent's back end opens
-    Then the relay was told of no crash
-    When another process reports itself to the agent
-    Then the relay was told of a crash with the requests of agent streams 2 and 2
+    Then no crash was reported to the relay
+    When another back end process reports to the agent
+    Then a crash was reported to the relay with the requests of agent streams 2 and 2
 
-  Scenario: Without a lease the relay is told once there is one
+  Scenario: A crash without a lease is reported once there is one
     When the agent's relay link is lost
     And the agent gets a call on agent stream 2 with 10 seconds left
     And the connection of agent stream 2 ends
     And a connection to the agent's back end is refused
-    Then the relay was told of no crash
+    Then no crash was reported to the relay
     When the agent is registered again
-    Then the relay was told of a crash with the requests of agent streams 2 and 2
+    Then a crash was reported to the relay with the requests of agent streams 2 and 2
--- a/features/agent/body_credit.feature
+++ b/features/agent/body_credit.feature
@@ -43,19 +43,19 @@
     Then the agent gave credit on agent stream 1
     When the agent gets the head of a call on agent stream 2 with a body of 9000 bytes and 1500 ms to its target
     Then agent stream 2 has failed with deadline-too-short
-    And the proxy of agent stream 2 was told when to come back
+    And the failure of agent stream 2 has a retry-after time
 
   Scenario: A body that is here at once is not refused where a slot is free, however slow the back end was
     Given an agent on a link of 125000000 bytes a second and a proxy
     When the agent gets a call on agent stream 1 with 10 seconds left
-    And the agent hears of the answer to agent stream 1 before its timer, 10 seconds later
+    And agent stream 1 is answered 10 seconds later, before the agent's timer fires
     And the agent gets the head of a call on agent stream 2 with a body of 20000 bytes and 1000 ms to its target
     Then the agent gave credit on agent stream 2
 
   Scenario: A body that was asked for is not refused when it comes
     Given an agent of incarnation 7 with 1 slots and a proxy
     When the agent gets a call on agent stream 1 with 10 seconds left
-    And the agent hears of the answer to agent stream 1 before its timer, 2 seconds later
+    And agent stream 1 is answered 2 seconds later, before the agent's timer fires
     And the agent gets the head of a call on agent stream 2 with a body of 9000 bytes and 8000 ms to its target
     And the agent gets a call on agent stream 3 with 10 seconds left
     And the agent gets a call on agent stream 4 with 10 seconds left
--- a/features/agent/drain.feature
+++ b/features/agent/drain.feature
@@ -1,29 +1,29 @@
-Feature: A planned stop of an agent takes no new work and cuts off none in flight
+Feature: A draining agent refuses new calls and finishes running ones
 
-  Scenario: Draining refuses new calls and finishes old ones
+  Scenario: New calls are refused and running ones finish
     Given a registered agent with 1 slots and a proxy
     When the agent gets a call on agent stream 1 with 10 seconds left
     And the agent is asked to drain
-    Then the relay hears that the agent is draining
+    Then the relay is told that the agent is draining
     When the agent gets a call on agent stream 2 with 10 seconds left
     Then agent stream 2 has failed with draining
-    And the agent's back end was asked once
+    And the agent's back end received one request
     When the agent's back end answers agent stream 1
     Then agent stream 1 has its answer
     When 1.5 seconds pass at the agent
     Then the drain has finished with 0 calls cut off
-    And the relay hears that the agent is gone
+    And the relay is told that the agent is gone
 
-  Scenario: Queued calls go back to the proxy after a short while
+  Scenario: Queued calls are refused after a short time
     Given a registered agent with 1 slots and a proxy
     When the agent gets a call on agent stream 1 with 20 seconds left
     And the agent gets a call on agent stream 2 with 20 seconds left
     And the agent is asked to drain
     And 2.5 seconds pass at the agent
     Then agent stream 2 has failed with draining
-    And the agent's back end was asked once
+    And the agent's back end received one request
 
-  Scenario: The drain limit ends what still runs
+  Scenario: Calls still running at the drain limit are cancelled
     Given a registered agent with 1 slots and a proxy
     When the agent gets a call on agent stream 1 with 90 seconds left
     And the agent is asked to drain
--- a/features/agent/unresponsive_back_end.feature
+++ b/features/agent/unresponsive_back_end.feature
@@ -1,24 +1,24 @@
-Feature: An agent notices that its back end has fallen silent, and sends calls elsewhere
+Feature: An agent detects an unresponsive back end and refuses calls to it
 
   Background:
     Given a registered agent with 2 slots and a proxy
     And the agent's back end has answered a call after 0.1 seconds
 
-  Scenario: Calls that take long have a connection tried, once all that run do
+  Scenario: A connection is checked once all running calls are overdue
     When the agent gets a call on agent stream 2 with 10 seconds left
     And 0.3 seconds pass at the agent
     And the agent gets a call on agent stream 3 with 10 seconds left
     And 0.3 seconds pass at the agent
-    Then the agent has tried 0 connections
+    Then the agent has made 0 connection checks
     When 0.2 seconds pass at the agent
-    Then the agent has tried 1 connections
+    Then the agent has made 1 connection checks
 
-  Scenario: Nobody there: what waits and what may be repeated goes back at once, further calls too
+  Scenario: Waiting, repeatable and new calls fail at once while the back end is unresponsive
     When the agent gets a call on agent stream 2 with 10 seconds left
     And the agent gets an at-most-once call on agent stream 3
     And the agent gets a call on agent stream 4 with 10 seconds left
     And 0.5 seconds pass at the agent
-    And no connection to the agent's back end opens
+    And a connection to the agent's back end times out
     Then agent stream 4 has failed with connection-failed
     And agent stream 2 has failed with backend-failed
     And agent stream 3 has no answer yet
@@ -26,40 +26,39 @@
     Then agent stream 5 has failed with connection-failed
     And the last load that the agent reported is 255
 
-  Scenario: It is there again as soon as a connection opens
+  Scenario: Calls are accepted again as soon as a connection opens
     When the agent gets a call on agent stream 2 with 10 seconds left
     And 0.5 seconds pass at the agent
-    And no connection to the agent's back end opens
+    And a connection to the agent's back end times out
     And 0.25 seconds pass at the agent
-    Then the agent has tried 2 connections
+    Then the agent has made 2 connection checks
     When a connection to the agent's back end opens
     And the agent gets a call on agent stream 3 with 10 seconds left
-    Then the agent's back end has been asked for agent stream 3
+    Then the agent's back end received the request of agent stream 3
 
-  Scenario: A back end that is slow but there keeps its calls
+  Scenario: A slow back end that accepts connections keeps its calls
     When the agent gets a call on agent stream 2 with 10 seconds left
     And 0.5 seconds pass at the agent
     And a connection to the agent's back end opens
     And the agent gets a call on agent stream 3 with 10 seconds left
     Then agent stream 2 has no answer yet
-    And the agent's back end has been asked for agent stream 3
+    And the agent's back end received the request of agent stream 3
 
-  Scenario: An idle back end is not tried
+  Scenario: An idle back end is not checked
     When 10 seconds pass at the agent
-    Then the agent has tried 0 connections
+    Then the agent has made 0 connection checks
 
-  Scenario Outline: A connection that <what> says that somebody is <there>
+  Scenario Outline: A back end whose connections <what> is <state>
     Given a back end whose new connections <what>
-    Then trying one says within 0.15 seconds that somebody is <there>
+    Then a connection check of 0.15 seconds finds the back end <state>
 
     Examples:
-      | what         | there     |
-      | open         | there     |
-      | are refused  | there     |
-      | hang         | not there |
+      | what        | state       |
+      | open        | reachable   |
+      | are refused | reachable   |
+      | hang        | unreachable |
 
-  Scenario: A process that is held up does not take its back end for a silent one
-    Calls of a node under load were answered 502, "the back end fell silent while the call ran", with the instance at
-    work: the connection that was tried had opened, but the node had no processor for longer than the time it allows.
+  Scenario: A process that is held up during a check does not report its back end as unresponsive
+    Guards against a false positive when the agent itself gets no processor time for longer than the check allows.
     Given a back end whose new connections open
-    Then a process that is held up for 0.3 seconds while it tries one says that somebody is there
+    Then a process that is delayed for 0.3 seconds during a connection check finds the back end reachable
--- a/features/platform/node_start.feature
+++ b/features/platform/node_start.feature
@@ -9,7 +9,7 @@
     Then a request through the node is answered by the back end, with the caller's service told
 
   Scenario Outline: An answer to a health probe <what> <names>
-    Then a health answer <what> <names>
+    Then a health response <what> <names>
 
     Examples:
       | what                               | names                  |
--- a/features/steps/agent_harness.py
+++ b/features/steps/agent_harness.py
@@ -1,4 +1,4 @@
-"""An agent core under virtual time, with its shell, relay and proxy played by the test."""
+"""Test harness of the agent core: virtual time, simulated back end, relay and proxy."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 class AgentHarness:
-    """An agent core with its shell's part played by the test."""
+    """Runs an agent core, feeds it events and records its outputs."""
 
     def __init__(self, slots: int, link_rate: int = 0) -> None:
         options = AgentOptions(
--- a/features/steps/agent_registration_steps.py
+++ b/features/steps/agent_registration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for cold starts and the registration of an agent."""
+"""Steps for the cold start and the registration of an agent."""
 
 from __future__ import annotations
 
@@ -66,15 +66,15 @@
 
 
 class RegistrationHarness:
-    """A registration that holds a lease; the test plays its relay."""
+    """A registration that holds a lease; the test takes the part of its relay."""
 
     def __init__(self, lease_ms: int) -> None:
-        self.part = Registration(REGISTRATION, 7, DialledConnections(), random.Random(3))
+        self.registration = Registration(REGISTRATION, 7, DialledConnections(), random.Random(3))
         self.now = 0.0
-        self.outputs: list[Output] = self.part.start(self.now)
+        self.outputs: list[Output] = self.registration.start(self.now)
         self.handle(ConnectionOpened(self.link, RELAY))
         self.receive(LeaseGranted(lease_ms=lease_ms, incarnation=7))
-        self.relay = self.part.relay
+        self.relay = self.registration.relay
 
     @property
     def dials(self) -> list[OpenConnection]:
@@ -89,23 +89,23 @@
         return [output.message for output in sent if isinstance(output.message, kind)]
 
     def handle(self, event: Event) -> None:
-        self.outputs.extend(self.part.handle(event, self.now))
+        self.outputs.extend(self.registration.handle(event, self.now))
 
     def receive(self, message: object) -> None:
         self.handle(MessageReceived(self.link, message))  # type: ignore[arg-type]
 
-    def next(self) -> None:
-        due = self.part.next_deadline()
+    def pass_next_deadline(self) -> None:
+        due = self.registration.next_deadline()
         assert due is not None
         self.now = due
         self.handle(DeadlineReached())
 
 
-@then("agents of any seed dial the first relay listed")
+@then("agents with any random seed dial the first listed relay")
 def check_first_listed(context: Context) -> None:
     for seed in range(20):
-        part = Registration(REGISTRATION, 7, DialledConnections(), random.Random(seed))
-        [dial] = part.start(0.0)
+        registration = Registration(REGISTRATION, 7, DialledConnections(), random.Random(seed))
+        [dial] = registration.start(0.0)
         assert isinstance(dial, OpenConnection) and dial.address == RELAYS[0], dial
 
 
@@ -116,7 +116,7 @@
 
 @when("its next deadline comes")
 def next_deadline(context: Context) -> None:
-    context.registration.next()
+    context.registration.pass_next_deadline()
 
 
 @then("{seconds:d} seconds have passed and the lease was renewed")
@@ -125,22 +125,22 @@
     assert len(context.registration.messages(LeaseRenew)) == 1
 
 
-@when("the link to its relay closes and its next deadline comes")
+@when("the connection to its relay closes and its next deadline comes")
 def relay_closes(context: Context) -> None:
     harness = context.registration
     harness.handle(ConnectionClosed(harness.link, "lost"))
-    harness.next()
+    harness.pass_next_deadline()
 
 
 @when("no renewal is answered for {seconds:d} seconds")
-def relay_silent(context: Context, seconds: int) -> None:
+def leave_renewals_unanswered(context: Context, seconds: int) -> None:
     harness = context.registration
-    while len(harness.dials) == 1 and harness.part.next_deadline() <= seconds:
-        harness.next()
+    while len(harness.dials) == 1 and harness.registration.next_deadline() <= seconds:
+        harness.pass_next_deadline()
 
 
 @then("the other relay is dialled")
-def check_other(context: Context) -> None:
+def check_other_relay_dialled(context: Context) -> None:
     harness = context.registration
     assert [dial.address for dial in harness.dials][1:] == [
         relay for relay in RELAYS if relay != harness.relay
@@ -158,7 +158,7 @@
     assert second.endpoint.sequence > first.endpoint.sequence
 
 
-@when("the relay says to come back in {seconds:d} seconds")
+@when("the relay asks for a retry after {seconds:d} seconds")
 def retry_later(context: Context, seconds: int) -> None:
     context.registration.receive(RetryLater(retry_after_ms=seconds * 1000))
 
@@ -167,5 +167,5 @@
 def check_deferred(context: Context, seconds: int) -> None:
     harness = context.registration
     assert len(harness.dials) == 1
-    harness.next()
+    harness.pass_next_deadline()
     assert harness.now >= seconds and len(harness.dials) == 2
--- a/features/steps/agent_steps.py
+++ b/features/steps/agent_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the calls and the drain of an agent."""
+"""Steps for calls to an agent and for its drain."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 @when("the agent gets a call on agent stream {stream:d} for incarnation {incarnation:d}")
-def send_foreign(context: Context, stream: int, incarnation: int) -> None:
+def send_for_incarnation(context: Context, stream: int, incarnation: int) -> None:
     context.agent.send(call_start(stream, agent_incarnation=incarnation))
 
 
@@ -125,18 +125,18 @@
     assert context.agent.sent(PROXY_LINK, CallCredit) == []
 
 
-@when("the agent hears a cancel of agent stream {stream:d}")
+@when("the proxy sends a cancel for agent stream {stream:d}")
 def send_cancel(context: Context, stream: int) -> None:
     context.agent.send(CallCancel(stream=stream))
 
 
-@when("the agent hears a cancel unless begun of agent stream {stream:d}")
+@when("the proxy sends a cancel for agent stream {stream:d} unless it was started")
 def send_cancel_unless_begun(context: Context, stream: int) -> None:
     context.agent.send(CallCancel(stream=stream, unless_begun=True))
 
 
-@when("the agent loses its proxy")
-def lose_proxy(context: Context) -> None:
+@when("the agent's connection to its proxy closes")
+def close_proxy_connection(context: Context) -> None:
     context.agent.handle(ConnectionClosed(PROXY_LINK, "lost"))
 
 
@@ -156,8 +156,7 @@
 
 
 @when(
-    "the agent hears of the answer to agent stream {stream:d} before its timer, "
-    "{seconds:d} seconds later"
+    "agent stream {stream:d} is answered {seconds:d} seconds later, before the agent's timer fires"
 )
 def answer_before_timer(context: Context, stream: int, seconds: int) -> None:
     context.agent.now += seconds
@@ -183,13 +182,13 @@
     assert [message.kind for message in failed] == [kind], failed
 
 
-@then("the agent's back end was asked once")
-def check_asked_once(context: Context) -> None:
+@then("the agent's back end received one request")
+def check_one_request(context: Context) -> None:
     assert len(context.agent.outputs_of(StartAttempt)) == 1
 
 
-@then("the agent's back end was never asked")
-def check_never_asked(context: Context) -> None:
+@then("the agent's back end received no request")
+def check_no_request(context: Context) -> None:
     assert not context.agent.outputs_of(StartAttempt)
 
 
@@ -260,14 +259,14 @@
     assert not context.agent.outputs_of(DrainFinished)
 
 
-@then("the proxy of agent stream {stream:d} was told when to come back")
-def check_advice(context: Context, stream: int) -> None:
+@then("the failure of agent stream {stream:d} has a retry-after time")
+def check_retry_after(context: Context, stream: int) -> None:
     failed = [m for m in context.agent.sent(PROXY_LINK, CallFailed) if m.stream == stream]
     assert failed[0].retry_after_ms > 0
 
 
-@then("any course of calls at the agent keeps its promises")
-def check_promises(_context: Context) -> None:
+@then("any sequence of calls gets one answer each, at most one attempt and a true outcome")
+def check_call_invariants(_context: Context) -> None:
     operation = st.tuples(
         st.sampled_from(["call", "call", "call", "resend", "cancel", "answer", "fail", "wait"]),
         st.integers(0, 30),
@@ -277,16 +276,16 @@
     @HYPOTHESIS_SETTINGS
     @examples(st.lists(operation, max_size=120))
     def run(operations: list[tuple[str, int, bool]]) -> None:
-        course = CallCourse()
+        sequence = CallSequence()
         for name, number, flag in operations:
-            course.step(name, number, flag)
-        course.check()
+            sequence.step(name, number, flag)
+        sequence.check()
 
     run()
 
 
-class CallCourse:
-    """Drives a call service by drawn operations and keeps what it did."""
+class CallSequence:
+    """Runs generated operations on a call service and records its outputs."""
 
     def __init__(self) -> None:
         limits = CallLimits(QueueLimits(slots=2, group_calls=4))
@@ -295,7 +294,7 @@
         self.streams = 0
         self.running: dict[int, int] = {}
         self.started: list[int] = []
-        self.final: dict[int, list[object]] = {}
+        self.final_messages: dict[int, list[object]] = {}
 
     def step(self, name: str, number: int, flag: bool) -> None:
         if flag:
@@ -344,14 +343,14 @@
             elif isinstance(output, SendMessage):
                 message = output.message
                 assert isinstance(message, CallFailed | ResponseStart)
-                self.final.setdefault(message.stream, []).append(message)
+                self.final_messages.setdefault(message.stream, []).append(message)
 
     def check(self) -> None:
         while self.running:
             self.step("answer", 0, False)
         self.take(self.service.expire(self.now + FAR_FUTURE_SECONDS))
         for stream in range(1, self.streams + 1):
-            messages = [m for m in self.final.get(stream, []) if not is_resend_answer(m)]
+            messages = [m for m in self.final_messages.get(stream, []) if not is_resend_answer(m)]
             assert len(messages) == 1, (stream, messages)
             assert self.started.count(stream) <= (0 if any(map(is_not_run, messages)) else 1)
         assert self.service.running == 0 and self.service.waiting == 0
@@ -386,25 +385,25 @@
 
 
 @then("group {group:S} had about {part:d} of {whole:d} attempts")
-def check_part(context: Context, group: str, part: int, whole: int) -> None:
+def check_share_of_attempts(context: Context, group: str, part: int, whole: int) -> None:
     starts = context.agent.outputs_of(StartAttempt)
     parity = ("web", "batch").index(group)
-    had = sum(1 for start in starts if int(start.target) % 2 == parity)
-    assert abs(had - len(starts) * part / whole) <= 2, (had, len(starts))
+    started = sum(1 for start in starts if int(start.target) % 2 == parity)
+    assert abs(started - len(starts) * part / whole) <= 2, (started, len(starts))
 
 
 @when("the agent is asked to drain")
-def ask_drain(context: Context) -> None:
+def request_drain(context: Context) -> None:
     context.agent.handle(DrainRequested())
 
 
-@then("the relay hears that the agent is draining")
+@then("the relay is told that the agent is draining")
 def check_draining(context: Context) -> None:
     last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_DRAINING
 
 
-@then("the relay hears that the agent is gone")
+@then("the relay is told that the agent is gone")
 def check_gone(context: Context) -> None:
     last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_GONE
--- a/features/steps/health_response_steps.py
+++ b/features/steps/health_response_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a health probe's answer says of the instance."""
+"""Steps for the instance identity in a health probe's response."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 NAMES = HeaderNames(instance=b"limelever-instance-id", load=b"limelever-server-load")
 ID = (b"Limelever-Instance-Id", b"i-1")
 LOAD = (b"Limelever-Server-Load", b"3,0,8")
-ANSWERS = {
+RESPONSES = {
     "with id and load": (200, (ID, LOAD)),
     "with an id alone": (200, (ID,)),
     "with a load that is no list": (200, (ID, (b"Limelever-Server-Load", b"much"))),
@@ -24,14 +24,14 @@
 }
 
 
-@then("a health answer {what} names {instance} with {slots:d} slots")
+@then("a health response {what} names {instance} with {slots:d} slots")
 def names_instance(context, what, instance, slots):
-    status, headers = ANSWERS[what]
-    found = parse_instance_identity(HttpAnswer(status, headers, b""), NAMES)
-    assert found == InstanceIdentity(instance, slots), found
+    status, headers = RESPONSES[what]
+    identity = parse_instance_identity(HttpAnswer(status, headers, b""), NAMES)
+    assert identity == InstanceIdentity(instance, slots), identity
 
 
-@then("a health answer {what} names nobody")
+@then("a health response {what} names nobody")
 def names_nobody(context, what):
-    status, headers = ANSWERS[what]
+    status, headers = RESPONSES[what]
     assert parse_instance_identity(HttpAnswer(status, headers, b""), NAMES) is None
--- a/features/steps/scripted_agent.py
+++ b/features/steps/scripted_agent.py
@@ -1,4 +1,4 @@
-"""An agent whose registration messages the steps of the relay send by hand."""
+"""An agent without a core: relay steps send its registration messages one by one."""
 
 import itertools
 
@@ -24,7 +24,7 @@
 
 
 class ScriptedAgent:
-    """Registers at a relay and renews when told."""
+    """Registers at a relay and renews its lease on request."""
 
     def __init__(self, mesh, name, incarnation):
         self.mesh, self.name, self.incarnation = mesh, name, incarnation
--- a/features/steps/unresponsive_back_end_steps.py
+++ b/features/steps/unresponsive_back_end_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a back end that falls silent: the agent's core, and connections tried for real."""
+"""Steps for unresponsive back ends, with the agent's core and with real connections."""
 
 from __future__ import annotations
 
@@ -37,42 +37,42 @@
 
 
 @when("the agent gets an at-most-once call on agent stream {stream:d}")
-def send_unrepeatable(context: Context, stream: int) -> None:
+def send_at_most_once(context: Context, stream: int) -> None:
     context.agent.send(call_start(stream, call_kind=CALL_KIND_ONCE_PER_ATTEMPT))
 
 
-@then("the agent has tried {count:d} connections")
-def has_tried(context: Context, count: int) -> None:
+@then("the agent has made {count:d} connection checks")
+def check_connection_checks(context: Context, count: int) -> None:
     assert len(context.agent.outputs_of(CheckBackend)) == count, context.agent.outputs_of(
         CheckBackend
     )
 
 
-@when("no connection to the agent's back end opens")
-def none_opens(context: Context) -> None:
+@when("a connection to the agent's back end times out")
+def time_out_check(context: Context) -> None:
     context.agent.handle(BackendChecked(ConnectResult.TIMED_OUT))
 
 
 @when("a connection to the agent's back end opens")
-def one_opens(context: Context) -> None:
+def open_check(context: Context) -> None:
     context.agent.handle(BackendChecked(ConnectResult.OPENED))
 
 
 @then("agent stream {stream:d} has no answer yet")
-def no_answer(context: Context, stream: int) -> None:
+def check_unanswered(context: Context, stream: int) -> None:
     agent: AgentHarness = context.agent
     ends = [*agent.sent(PROXY_LINK, CallFailed), *agent.sent(PROXY_LINK, ResponseStart)]
     assert stream not in [end.stream for end in ends], ends
 
 
-@then("the agent's back end has been asked for agent stream {stream:d}")
-def has_asked(context: Context, stream: int) -> None:
+@then("the agent's back end received the request of agent stream {stream:d}")
+def check_request_received(context: Context, stream: int) -> None:
     targets = [start.target for start in context.agent.outputs_of(StartAttempt)]
     assert str(stream).encode() in targets, targets
 
 
 @then("the last load that the agent reported is {load:d}")
-def last_load(context: Context, load: int) -> None:
+def check_last_load(context: Context, load: int) -> None:
     sent = [output.message for output in context.agent.outputs_of(SendMessage)]
     reports = [message for message in sent if isinstance(message, LoadReport)]
     assert reports[-1].load == load, reports
@@ -93,7 +93,7 @@
 
 
 def fill_backlog(context: Context) -> None:
-    """Leave no room for further connections: their first packet is dropped."""
+    """Fill the listen backlog, so that the SYN of further connections is dropped."""
     address = (context.backend_address.host, context.backend_address.port)
     for _ in range(BACKLOG_CONNECTIONS):
         client = socket.socket()
@@ -102,37 +102,37 @@
         context.held_sockets.append(client)
 
 
-@then("trying one says within {seconds:g} seconds that somebody is {there}")
-def trying_says(context: Context, seconds: float, there: str) -> None:
+@then("a connection check of {seconds:g} seconds finds the back end {state}")
+def check_finds(context: Context, seconds: float, state: str) -> None:
     assert seconds == CHECK_SECONDS
     refused = context.held_sockets[0].fileno() == -1
-    reached = trio.run(try_new, context.backend_address)
+    result = trio.run(try_new, context.backend_address)
     for held in context.held_sockets:
         held.close()
-    assert (reached is not ConnectResult.TIMED_OUT) is (there == "there")
-    assert (reached is ConnectResult.REFUSED) is refused, reached
+    assert (result is not ConnectResult.TIMED_OUT) is (state == "reachable")
+    assert (result is ConnectResult.REFUSED) is refused, result
 
 
 @then(
-    "a process that is held up for {seconds:g} seconds while it tries one says that somebody "
-    "is there"
+    "a process that is delayed for {seconds:g} seconds during a connection check finds the back "
+    "end reachable"
 )
-def held_up_says(context: Context, seconds: float) -> None:
+def check_finds_when_delayed(context: Context, seconds: float) -> None:
     assert seconds > CHECK_SECONDS
 
-    async def hold_up() -> None:
+    async def block_event_loop() -> None:
         await trio.lowlevel.checkpoint()
         time.sleep(seconds)
 
-    async def play() -> ConnectResult:
+    async def run_check() -> ConnectResult:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hold_up)
+            nursery.start_soon(block_event_loop)
             return await try_new(context.backend_address)
 
-    reached = trio.run(play)
+    result = trio.run(run_check)
     for held in context.held_sockets:
         held.close()
-    assert reached is ConnectResult.OPENED, reached
+    assert result is ConnectResult.OPENED, result
 
 
 async def try_new(address: Address) -> ConnectResult:
