--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -123,10 +123,10 @@
     ) -> Call:
         """Add a call; its stream must be free."""
         self._last_number += 1
-        kept = CallStart()
-        kept.CopyFrom(start)
-        kept.ClearField("body")
-        call = Call(self._last_number, connection, kept, deadline, bytearray(start.body))
+        head = CallStart()
+        head.CopyFrom(start)
+        head.ClearField("body")
+        call = Call(self._last_number, connection, head, deadline, bytearray(start.body))
         call.target = target
         self._calls[call.number] = call
         self._streams[(connection, start.stream)] = call.number
--- a/src/limelever/agent/interface.py
+++ b/src/limelever/agent/interface.py
@@ -99,7 +99,7 @@
 
     OPENED = "opened"
     REFUSED = "refused"
-    TIMED_OUT = "silent"
+    TIMED_OUT = "timed-out"
 
 
 class BackendChecked(Event, frozen=True):
