--- a/features/steps/unresponsive_back_end_steps.py
+++ b/features/steps/unresponsive_back_end_steps.py
@@ -10,8 +10,8 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from limelever.agent.backend import CHECK_SECONDS
-from limelever.agent.connections import BackendConnections
+from limelever.agent.backend_client import CHECK_TIMEOUT_SECONDS
+from limelever.agent.connection_pool import BackendConnectionPool
 from limelever.agent.interface import (
     AttemptAnswered,
     BackendChecked,
@@ -104,9 +104,9 @@
 
 @then("a connection check of {seconds:g} seconds finds the back end {state}")
 def check_finds(context: Context, seconds: float, state: str) -> None:
-    assert seconds == CHECK_SECONDS
+    assert seconds == CHECK_TIMEOUT_SECONDS
     refused = context.held_sockets[0].fileno() == -1
-    result = trio.run(try_new, context.backend_address)
+    result = trio.run(check_connect, context.backend_address)
     for held in context.held_sockets:
         held.close()
     assert (result is not ConnectResult.TIMED_OUT) is (state == "reachable")
@@ -118,7 +118,7 @@
     "end reachable"
 )
 def check_finds_when_delayed(context: Context, seconds: float) -> None:
-    assert seconds > CHECK_SECONDS
+    assert seconds > CHECK_TIMEOUT_SECONDS
 
     async def block_event_loop() -> None:
         await trio.lowlevel.checkpoint()
@@ -127,7 +127,7 @@
     async def run_check() -> ConnectResult:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(block_event_loop)
-            return await try_new(context.backend_address)
+            return await check_connect(context.backend_address)
 
     result = trio.run(run_check)
     for held in context.held_sockets:
@@ -135,9 +135,9 @@
     assert result is ConnectResult.OPENED, result
 
 
-async def try_new(address: Address) -> ConnectResult:
-    connections = BackendConnections(BackendSettings(address=address))
+async def check_connect(address: Address) -> ConnectResult:
+    pool = BackendConnectionPool(BackendSettings(address=address))
     try:
-        return await connections.try_new(CHECK_SECONDS)
+        return await pool.check_connect(CHECK_TIMEOUT_SECONDS)
     finally:
-        connections.close()
+        pool.close()
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -5,7 +5,7 @@
 once. A cancelled call is answered too, so that the proxy learns whether it had been started.
 
 Request bodies are flow-controlled: a proxy sends no more than ``CallCredit`` allows, and nothing
-until the queue can admit the call; see ``body_credit``. For long responses see ``answer_sender``.
+until the queue can admit the call; see ``body_credit``. For long responses see ``response_sender``.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from msgspec.structs import replace
 
 from limelever.agent import call_messages, events, failures
-from limelever.agent.answer_link import NO_ROOM, AnswerLink, AnswerTimes
-from limelever.agent.answer_sender import AnswerSender
-from limelever.agent.backend_watch import BackendWatch, Seen
+from limelever.agent.backend_monitor import BackendMonitor, CheckOutcome
 from limelever.agent.call_messages import NO_CRASH
+from limelever.agent.call_receiver import BodyLimits, CallReceiver, Rejection
 from limelever.agent.call_reporter import CallReporter, crash_event
 from limelever.agent.calls import Call, CallStage, CallTable, OrphanedCalls
 from limelever.agent.crash_detector import HeldCall
 from limelever.agent.fair_queue import Eviction, FairQueue, QueueLimits
-from limelever.agent.intake import BodyLimits, CallIntake, Refusal
 from limelever.agent.interface import (
     AttemptAnswered,
     AttemptFailed,
     CancelAttempt,
     ConnectResult,
 )
+from limelever.agent.response_pacer import NO_LINK_CAPACITY, CallTiming, ResponsePacer
+from limelever.agent.response_sender import ResponseSender
 from limelever.agent.version_outcomes import VersionOutcomeCounter
 from limelever.common.deadlines import earliest
 from limelever.common.decision_log import DecisionLogSettings
@@ -72,11 +72,11 @@
         self._limits = limits
         self._calls = CallTable()
         bodies = BodyLimits(limits.max_body_bytes, limits.assembling_bytes, limits.link_rate)
-        self._intake = CallIntake(service, incarnation, bodies, self._calls)
+        self._intake = CallReceiver(service, incarnation, bodies, self._calls)
         self._queue = FairQueue(limits.queue)
-        self._link = AnswerLink(limits.link_rate)
-        self._answers = AnswerSender(self._link)
-        self.backend = BackendWatch(generator)
+        self._link = ResponsePacer(limits.link_rate)
+        self._answers = ResponseSender(self._link)
+        self.backend = BackendMonitor(generator)
         self.versions = versions or VersionOutcomeCounter(service, "", "")
         self._reporter = CallReporter(self._queue, limits.queue.slots, limits.log)
 
@@ -113,7 +113,7 @@
 
     def pace(self, now: float) -> int:
         """Return the back end's current service time in thousandths of the usual; 0 if unknown."""
-        return self._reporter.pace.now(now)
+        return self._reporter.pace.current(now)
 
     @property
     def unfinished(self) -> int:
@@ -139,8 +139,8 @@
     ) -> list[Output]:
         """Accept or refuse a call."""
         self._reporter.now = now
-        call = self._intake.open(connection, peer, start, now, self.draining)
-        if isinstance(call, Refusal):
+        call = self._intake.accept(connection, peer, start, now, self.draining)
+        if isinstance(call, Rejection):
             logs: list[Output] = [call.log] if call.log is not None else []
             if call.failure is None:
                 return logs
@@ -150,22 +150,22 @@
         link_failure = self._check_answer_link(call, now)
         if link_failure is not None:
             return self._refuse(call, link_failure)
-        self._link.expect(call.number, start.group)
+        self._link.reserve(call.number, start.group)
         if start.end:
             return self._admit(call, now)
         failure = self._intake.check_body(call)
         if failure is None and start.awaits_credit:
-            body_time = self._intake.expected_time(start)
+            body_time = self._intake.transfer_time(start)
             failure = self._queue.check(call.queue_entry(now), now, body_time)
         if failure is not None:
             return self._refuse(call, failure)
-        self._intake.ask_for(call)
+        self._intake.request_body(call)
         return []
 
     def body(self, connection: ConnectionId, message: CallBody, now: float) -> list[Output]:
         """Append a part of a request body; parts for unknown streams are ignored as late."""
         call = self._calls.by_stream(connection, message.stream)
-        if call is None or not self._intake.holds(call):
+        if call is None or not self._intake.is_assembling(call):
             return []
         failure = self._intake.add(call, message, now)
         if failure is not None:
@@ -184,11 +184,11 @@
 
     def send_response_parts(self, now: float) -> list[Output]:
         """Send the parts of long responses that the link has capacity for."""
-        return self._answers.send_on(now) if self._answers.count else []
+        return self._answers.send_paced(now) if self._answers.count else []
 
     def credit(self, connection: ConnectionId, message: CallCredit) -> list[Output]:
         """Send more of a long response within the credit of its proxy."""
-        return self._answers.credit(connection, message.stream, message.bytes)
+        return self._answers.add_credit(connection, message.stream, message.bytes)
 
     def cancel(self, connection: ConnectionId, message: CallCancel) -> list[Output]:
         """Cancel a call and tell its proxy whether it had been started."""
@@ -261,7 +261,7 @@
         self._queue.finish(call.number, now, representative=False)
         failure = call_messages.attempt_failure(event)
         if failure.kind is ErrorKind.BACKEND_REFUSED:
-            advice = self._queue.advice_of_turned_away(call.start.group, now)
+            advice = self._queue.retry_after_backend_refusal(call.start.group, now)
             failure = replace(failure, retry_after=advice)
         if self.backend.failed(event, failure, call, now):
             return self.start_waiting(now)
@@ -281,7 +281,7 @@
     def expire(self, now: float) -> list[Output]:
         """Refuse waiting calls that are past their deadline, and drop late responses."""
         assembling = [call.number for call in self._intake.expired(now)]
-        outputs = self._refuse_late([*self._queue.take_expired(now), *assembling])
+        outputs = self._refuse_late([*self._queue.pop_expired(now), *assembling])
         if self._answers.count:
             outputs.extend(self._answers.expire(now, self._reporter.agent_load))
         return outputs
@@ -310,7 +310,7 @@
                 *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE),
                 *self._fail_repeatable(),
             ]
-        if seen.is_back:
+        if seen.recovered:
             outputs.append(LogEvent(events.BACKEND_BACK))
         return outputs if self.backend.silent else [*outputs, *self.start_waiting(now)]
 
@@ -336,18 +336,18 @@
         self._reporter.now = now
         outputs = self.expire(now)
         outputs.extend(self.backend.take_check(now))
-        outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
+        outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         while not self.backend.undecided and (queued := self._queue.start_next(now)) is not None:
-            call = self._calls.by_number(queued.call)
+            call = self._calls.by_number(queued.number)
             assert call is not None
             call.started_at = now
             service_time = self._queue.service_time_of(queued.group)
             self.backend.started(call.number, service_time, now)
             outputs.append(call.start_attempt(now))
-            outputs.extend(self._refuse_late(self._queue.take_hopeless(now)))
+            outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         return outputs
 
-    def _report_crash(self, seen: Seen) -> list[Output]:
+    def _report_crash(self, seen: CheckOutcome) -> list[Output]:
         """Log the requests that ran when the back end process exited, and refuse waiting calls."""
         log = crash_event(seen.crash, seen.suspects, self.waiting)
         return [log, *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE)]
@@ -396,13 +396,13 @@
 
     def _with_retry_advice(self, failure: Failure, call: Call) -> Failure:
         return replace(
-            failure, retry_after=self._queue.advice(call.start.group, self._reporter.now)
+            failure, retry_after=self._queue.retry_after(call.start.group, self._reporter.now)
         )
 
     def _admit(self, call: Call, now: float) -> list[Output]:
-        self._intake.close(call)
+        self._intake.release(call)
         already_checked = call.start.awaits_credit
-        admitted = self._queue.offer(call.queue_entry(now), now, checked=already_checked)
+        admitted = self._queue.offer(call.queue_entry(now), now, prechecked=already_checked)
         if isinstance(admitted, Failure):
             self._remove(call)
             return self._reporter.call_failed(call.connection, call.start, admitted)
@@ -422,20 +422,20 @@
         return self._reporter.call_failed(call.connection, call.start, failure)
 
     def _remove_waiting(self, call: Call) -> None:
-        self._intake.close(call)
+        self._intake.release(call)
         self._queue.remove(call.number)
         self._remove(call)
 
     def _remove(self, call: Call) -> None:
-        self._link.settle(call.number)
+        self._link.release(call.number)
         self._calls.remove(call)
 
     def _check_answer_link(self, call: Call, now: float) -> Failure | None:
         """Return a failure if the response could not be sent over the link in time."""
         group = call.start.group
         service_time = self._queue.service_time_of(group)
-        times = AnswerTimes(call.target, call.deadline, service_time)
-        late = self._link.too_late_by(group, times, now)
+        times = CallTiming(call.target, call.deadline, service_time)
+        late = self._link.lateness(group, times, now)
         if not late:
             return None
-        return Failure(ErrorKind.DEADLINE_TOO_SHORT, NO_ROOM, retry_after=late)
+        return Failure(ErrorKind.DEADLINE_TOO_SHORT, NO_LINK_CAPACITY, retry_after=late)
--- a/src/limelever/agent/core.py
+++ b/src/limelever/agent/core.py
@@ -167,7 +167,9 @@
             return outputs
         outputs.extend(self._calls.grant_body_credit(now))
         outputs.extend(self._calls.send_response_parts(now))
-        outputs.extend(self._registration.report_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(
+            self._registration.report_crashes(self._calls.backend.take_crash_news(), now)
+        )
         outputs.extend(self._registration.handle(event, now))
         tally = self._versions.take_report(now)
         outputs.extend(self._registration.report_version_tally(tally) if tally is not None else [])
@@ -217,7 +219,7 @@
             case BackendChecked(result):
                 return self._calls.backend_checked(result, now)
             case BackendProbed(healthy):
-                return self._register_when_warm(self._cold_start.probed(healthy), now)
+                return self._register_when_warm(self._cold_start.observe_probe(healthy), now)
             case DrainRequested():
                 return self._begin_drain(now)
             case BackendGone():
@@ -338,7 +340,9 @@
         self._finished = True
         cut_off = self._calls.running
         outputs = [*self._calls.refuse_waiting(), *self._calls.cancel_running()]
-        outputs.extend(self._registration.report_crashes(self._calls.backend.take_news(), now))
+        outputs.extend(
+            self._registration.report_crashes(self._calls.backend.take_crash_news(), now)
+        )
         outputs.extend(self._registration.stop(now))
         if self._subscriber is not None:
             outputs.extend(self._subscriber.stop(now))
--- a/src/limelever/agent/crash_detector.py
+++ b/src/limelever/agent/crash_detector.py
@@ -15,7 +15,7 @@
 
 from limelever.agent.interface import ConnectResult
 from limelever.common.errors import Failure
-from limelever.quarantine.evidence import Suspected
+from limelever.quarantine.crash_history import SuspectRequest
 
 SUSPECT_WINDOW_SECONDS = 1.0
 """Calls that ended within this time before a crash are suspects."""
@@ -50,7 +50,7 @@
 
 
 class _EndedCall(Struct, frozen=True):
-    suspected: Suspected
+    suspected: SuspectRequest
     at: float
 
 
@@ -70,14 +70,14 @@
         """Return whether a connection broke and the state of the process is not known yet."""
         return self._first_failure_at is not None
 
-    def connection_lost(self, held: HeldCall, suspected: Suspected, now: float) -> None:
+    def connection_lost(self, held: HeldCall, suspected: SuspectRequest, now: float) -> None:
         """Hold a call whose connection broke before it was answered."""
         self._held.append(held)
         self._ended.append(_EndedCall(suspected, now))
         if self._first_failure_at is None:
             self._first_failure_at = self._check_at = now
 
-    def call_abandoned(self, suspected: Suspected, now: float) -> None:
+    def call_abandoned(self, suspected: SuspectRequest, now: float) -> None:
         """Record a running call that the agent cancelled or that timed out."""
         self._ended.append(_EndedCall(suspected, now))
 
@@ -122,7 +122,7 @@
         self._rechecks = 0
         return held
 
-    def take_suspects(self, since: float) -> tuple[Suspected, ...]:
+    def take_suspects(self, since: float) -> tuple[SuspectRequest, ...]:
         """Return the distinct requests that ended since this time, and forget all ended calls."""
         suspects = dict.fromkeys(each.suspected for each in self._ended if each.at >= since)
         self._ended.clear()
@@ -134,7 +134,7 @@
         assert self._first_failure_at is not None
         return self._first_failure_at - SUSPECT_WINDOW_SECONDS
 
-    def suspects_of_replaced(self, now: float) -> tuple[Suspected, ...]:
+    def suspects_of_replaced(self, now: float) -> tuple[SuspectRequest, ...]:
         """Return the suspects of a crash that is known only because a new process reported."""
         return self.take_suspects(now - REPLACED_SUSPECT_WINDOW_SECONDS)
 
--- a/src/limelever/agent/health_response.py
+++ b/src/limelever/agent/health_response.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from limelever.agent.load_header import slots_in
+from limelever.agent.load_header import parse_slots
 from limelever.common.http_headers import HeaderNames, value_of
 from limelever.common.http_messages import HttpAnswer
 
@@ -22,4 +22,4 @@
     instance = value_of(headers, names.instance).decode("ascii", "replace")
     if not 200 <= answer.status < 300 or not instance:
         return None
-    return InstanceIdentity(instance, slots_in(headers, names))
+    return InstanceIdentity(instance, parse_slots(headers, names))
--- a/src/limelever/agent/registration.py
+++ b/src/limelever/agent/registration.py
@@ -16,7 +16,7 @@
 
 from limelever.agent import events
 from limelever.agent.endpoint_messages import EndpointMessages
-from limelever.agent.load_reports import LoadReports
+from limelever.agent.load_reports import LoadReporter
 from limelever.common.backoff import Backoff, BackoffSettings
 from limelever.common.sansio import (
     Address,
@@ -107,7 +107,7 @@
         self._phase = _Phase.NOT_STARTED
         self._endpoint = EndpointMessages(_endpoint_of(settings, incarnation))
         self._in_flight = 0
-        self._load_reports = LoadReports()
+        self._load_reports = LoadReporter()
         self._connection: ConnectionId | None = None
         self._due: float | None = None
         self._lease = 0.0
@@ -169,7 +169,7 @@
         self._in_flight = in_flight
         if not self.leased or self._connection is None:
             return []
-        report = self._load_reports.take(load, now, pace)
+        report = self._load_reports.update(load, now, pace)
         return [SendMessage(self._connection, report)] if report is not None else []
 
     def report_crashes(self, crashes: Sequence[CrashNews], now: float) -> list[Output]:
