--- a/src/limelever/agent/call_messages.py
+++ b/src/limelever/agent/call_messages.py
@@ -11,7 +11,7 @@
     ResponseStart,
 )
 
-FIRST_PART_BYTES = 256 * 1024
+MAX_INLINE_BODY_BYTES = 256 * 1024
 """Response bodies up to this size are sent within ``ResponseStart``."""
 
 NO_CRASH = 0
@@ -23,7 +23,10 @@
 def call_failed(
     start: CallStart, failure: Failure, load: AgentLoad, crash: int = NO_CRASH
 ) -> CallFailed:
-    """Return the message for a refused or failed call, with the crash it may have caused."""
+    """Return the message for a refused or failed call.
+
+    ``crash`` is the number of the back end crash that ended the call, if any.
+    """
     return CallFailed(
         stream=start.stream,
         attempt_id=start.attempt_id,
@@ -35,22 +38,22 @@
     )
 
 
-def first_part(
+def response_start(
     start: CallStart,
-    answer: AttemptAnswered,
+    response: AttemptAnswered,
     load: AgentLoad,
-    part_bytes: int = FIRST_PART_BYTES,
+    body_bytes: int = MAX_INLINE_BODY_BYTES,
 ) -> ResponseStart:
-    """Return the first message of a response; a short body is included completely."""
+    """Return the first message of a response, with at most ``body_bytes`` of its body."""
     message = ResponseStart(
         stream=start.stream,
         attempt_id=start.attempt_id,
-        status=answer.status,
-        body=answer.body[:part_bytes],
-        end=len(answer.body) <= part_bytes,
+        status=response.status,
+        body=response.body[:body_bytes],
+        end=len(response.body) <= body_bytes,
         load=load,
     )
-    for name, value in answer.headers:
+    for name, value in response.headers:
         message.headers.add(name=name, value=value)
     return message
 
--- a/src/limelever/agent/call_service.py
+++ b/src/limelever/agent/call_service.py
@@ -1,7 +1,7 @@
 """Queues calls from proxies, runs them at the back end and answers each exactly once.
 
 Free slots are assigned by weighted fair queueing. A failure with outcome NOT RUN is sent only for
-an attempt that was never handed to the back end, and an attempt identifier is handed over at most
+an attempt that was never sent to the back end, and an attempt identifier is sent there at most
 once. A cancelled call is answered too, so that the proxy learns whether it had been started.
 
 Request bodies are flow-controlled: a proxy sends no more than ``CallCredit`` allows, and nothing
@@ -72,10 +72,10 @@
         self._limits = limits
         self._calls = CallTable()
         bodies = BodyLimits(limits.max_body_bytes, limits.assembling_bytes, limits.link_rate)
-        self._intake = CallReceiver(service, incarnation, bodies, self._calls)
+        self._receiver = CallReceiver(service, incarnation, bodies, self._calls)
         self._queue = FairQueue(limits.queue)
-        self._link = ResponsePacer(limits.link_rate)
-        self._answers = ResponseSender(self._link)
+        self._pacer = ResponsePacer(limits.link_rate)
+        self._responses = ResponseSender(self._pacer)
         self.backend = BackendMonitor(generator)
         self.versions = versions or VersionOutcomeCounter(service, "", "")
         self._reporter = CallReporter(self._queue, limits.queue.slots, limits.log)
@@ -97,7 +97,7 @@
     @property
     def waiting(self) -> int:
         """Return the number of accepted calls that have not been started."""
-        return self._queue.queued + self._intake.count
+        return self._queue.queued + self._receiver.count
 
     @property
     def advertised_load(self) -> int:
@@ -118,7 +118,7 @@
     @property
     def unfinished(self) -> int:
         """Return the number of running attempts and of responses not yet sent completely."""
-        return self._queue.running + self._answers.count
+        return self._queue.running + self._responses.count
 
     def set_weights(self, weights: Mapping[str, int]) -> None:
         """Set the fair-queueing weights of the groups."""
@@ -130,7 +130,7 @@
 
     def set_max_body(self, service_limit: int) -> None:
         """Set the service's request body limit in bytes; 0 applies the limit of the process."""
-        self._intake.set_max_body(service_limit)
+        self._receiver.set_max_body(service_limit)
 
     # --- from proxies -----------------------------------------------------------------------
 
@@ -139,7 +139,7 @@
     ) -> list[Output]:
         """Accept or refuse a call."""
         self._reporter.now = now
-        call = self._intake.accept(connection, peer, start, now, self.draining)
+        call = self._receiver.accept(connection, peer, start, now, self.draining)
         if isinstance(call, Rejection):
             logs: list[Output] = [call.log] if call.log is not None else []
             if call.failure is None:
@@ -147,57 +147,57 @@
             return [*self._reporter.call_failed(connection, start, call.failure), *logs]
         if self.backend.silent:
             return self._refuse(call, failures.BACKEND_UNRESPONSIVE)
-        link_failure = self._check_answer_link(call, now)
+        link_failure = self._check_response_link(call, now)
         if link_failure is not None:
             return self._refuse(call, link_failure)
-        self._link.reserve(call.number, start.group)
+        self._pacer.reserve(call.number, start.group)
         if start.end:
             return self._admit(call, now)
-        failure = self._intake.check_body(call)
+        failure = self._receiver.check_body(call)
         if failure is None and start.awaits_credit:
-            body_time = self._intake.transfer_time(start)
+            body_time = self._receiver.transfer_time(start)
             failure = self._queue.check(call.queue_entry(now), now, body_time)
         if failure is not None:
             return self._refuse(call, failure)
-        self._intake.request_body(call)
+        self._receiver.request_body(call)
         return []
 
     def body(self, connection: ConnectionId, message: CallBody, now: float) -> list[Output]:
-        """Append a part of a request body; parts for unknown streams are ignored as late."""
+        """Append a chunk of a request body; ignore chunks of calls that have ended already."""
         call = self._calls.by_stream(connection, message.stream)
-        if call is None or not self._intake.is_assembling(call):
+        if call is None or not self._receiver.is_assembling(call):
             return []
-        failure = self._intake.add(call, message, now)
+        failure = self._receiver.add(call, message, now)
         if failure is not None:
             return self._refuse(call, failure)
         return self._admit(call, now) if message.end else []
 
     def grant_body_credit(self, now: float) -> list[Output]:
-        """Grant proxies credit for the next parts of the requested bodies."""
+        """Grant proxies credit for the next chunks of the requested bodies."""
         outputs: list[Output] = []
-        for grant in self._intake.grants(now):
+        for grant in self._receiver.grants(now):
             call = self._calls.by_number(grant.call)
             assert call is not None
             credit = CallCredit(stream=call.start.stream, bytes=grant.size)
             outputs.append(SendMessage(call.connection, credit))
         return outputs
 
-    def send_response_parts(self, now: float) -> list[Output]:
-        """Send the parts of long responses that the link has capacity for."""
-        return self._answers.send_paced(now) if self._answers.count else []
+    def send_paced_responses(self, now: float) -> list[Output]:
+        """Send the chunks of long responses that the link has capacity for."""
+        return self._responses.send_paced(now) if self._responses.count else []
 
     def credit(self, connection: ConnectionId, message: CallCredit) -> list[Output]:
         """Send more of a long response within the credit of its proxy."""
-        return self._answers.add_credit(connection, message.stream, message.bytes)
+        return self._responses.add_credit(connection, message.stream, message.bytes)
 
     def cancel(self, connection: ConnectionId, message: CallCancel) -> list[Output]:
         """Cancel a call and tell its proxy whether it had been started."""
         call = self._calls.by_stream(connection, message.stream)
-        begun = call is None or call.stage is CallStage.RUNNING
-        if begun and message.unless_begun:
+        started = call is None or call.stage is CallStage.RUNNING
+        if started and message.unless_begun:
             return []
         if call is None:
-            self._answers.drop(connection, message.stream)
+            self._responses.drop(connection, message.stream)
             return []
         if call.stage is not CallStage.RUNNING:
             return self._refuse(
@@ -214,7 +214,7 @@
         """
         dropped = left_running = 0
         outputs: list[Output] = []
-        self._answers.drop_connection(connection)
+        self._responses.drop_connection(connection)
         for call in self._calls.of_connection(connection):
             if call.stage is not CallStage.RUNNING:
                 self._remove_waiting(call)
@@ -244,9 +244,9 @@
         self._reporter.pace.observe(event.pace_permille, now)
         self._remove(call)
         if not failed:
-            self._link.observe(call.start.group, len(event.body))
+            self._pacer.observe(call.start.group, len(event.body))
         load = self._reporter.agent_load(call.start.group)
-        outputs = [] if settled else self._answers.send(call, event, load, now)
+        outputs = [] if settled else self._responses.send(call, event, load, now)
         outputs.extend(self._reporter.call_answered(call, event.status, now))
         return [*outputs, *self.start_waiting(now)]
 
@@ -272,23 +272,23 @@
     def next_deadline(self) -> float | None:
         """Return the earliest deadline of a waiting call, a pending response or a check."""
         return earliest(
-            self._intake.next_deadline(),
+            self._receiver.next_deadline(),
             self._queue.next_deadline(),
-            self._answers.next_deadline(),
+            self._responses.next_deadline(),
             self.backend.next_deadline(),
         )
 
     def expire(self, now: float) -> list[Output]:
-        """Refuse waiting calls that are past their deadline, and drop late responses."""
-        assembling = [call.number for call in self._intake.expired(now)]
+        """Refuse waiting calls and fail pending responses whose deadline has passed."""
+        assembling = [call.number for call in self._receiver.expired(now)]
         outputs = self._refuse_late([*self._queue.pop_expired(now), *assembling])
-        if self._answers.count:
-            outputs.extend(self._answers.expire(now, self._reporter.agent_load))
+        if self._responses.count:
+            outputs.extend(self._responses.expire(now, self._reporter.agent_load))
         return outputs
 
     def refuse_waiting(self, reason: Failure = failures.DRAINING) -> list[Output]:
         """Refuse every call that has not been started."""
-        waiting = (*self._calls.in_stage(CallStage.QUEUED), *self._intake.assembling)
+        waiting = (*self._calls.in_stage(CallStage.QUEUED), *self._receiver.assembling)
         return [output for call in waiting for output in self._refuse(call, reason)]
 
     def backend_checked(self, result: ConnectResult, now: float) -> list[Output]:
@@ -298,11 +298,11 @@
         failed. Other running calls are kept until their deadline, as they may still be answered.
         """
         self._reporter.now = now
-        seen = self.backend.checked(result, self.running, now)
-        outputs = self._report_crash(seen) if seen.crash else []
-        for held in seen.held:
-            outputs.extend(self._finish_held(held, seen.crash))
-        if seen.fell_silent:
+        outcome = self.backend.checked(result, self.running, now)
+        outputs = self._report_crash(outcome) if outcome.crash else []
+        for held in outcome.held:
+            outputs.extend(self._finish_held(held, outcome.crash))
+        if outcome.fell_silent:
             fields: dict[str, object] = {"running": self.running, "queued": self.waiting}
             outputs.append(LogEvent(events.BACKEND_SILENT, fields))
             return [
@@ -310,12 +310,12 @@
                 *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE),
                 *self._fail_repeatable(),
             ]
-        if seen.recovered:
+        if outcome.recovered:
             outputs.append(LogEvent(events.BACKEND_BACK))
         return outputs if self.backend.silent else [*outputs, *self.start_waiting(now)]
 
     def cancel_running(self) -> list[Output]:
-        """Cancel every running attempt, for instance when the drain limit is reached."""
+        """Cancel every running attempt because the agent stops."""
         outputs: list[Output] = []
         for call in self._calls.in_stage(CallStage.RUNNING):
             if not call.settled:
@@ -347,9 +347,9 @@
             outputs.extend(self._refuse_late(self._queue.pop_infeasible(now)))
         return outputs
 
-    def _report_crash(self, seen: CheckOutcome) -> list[Output]:
+    def _report_crash(self, outcome: CheckOutcome) -> list[Output]:
         """Log the requests that ran when the back end process exited, and refuse waiting calls."""
-        log = crash_event(seen.crash, seen.suspects, self.waiting)
+        log = crash_event(outcome.crash, outcome.suspects, self.waiting)
         return [log, *self.refuse_waiting(failures.BACKEND_UNRESPONSIVE)]
 
     def _finish_held(self, held: HeldCall, crash: int) -> list[Output]:
@@ -400,7 +400,7 @@
         )
 
     def _admit(self, call: Call, now: float) -> list[Output]:
-        self._intake.release(call)
+        self._receiver.release(call)
         already_checked = call.start.awaits_credit
         admitted = self._queue.offer(call.queue_entry(now), now, prechecked=already_checked)
         if isinstance(admitted, Failure):
@@ -422,20 +422,20 @@
         return self._reporter.call_failed(call.connection, call.start, failure)
 
     def _remove_waiting(self, call: Call) -> None:
-        self._intake.release(call)
+        self._receiver.release(call)
         self._queue.remove(call.number)
         self._remove(call)
 
     def _remove(self, call: Call) -> None:
-        self._link.release(call.number)
+        self._pacer.release(call.number)
         self._calls.remove(call)
 
-    def _check_answer_link(self, call: Call, now: float) -> Failure | None:
+    def _check_response_link(self, call: Call, now: float) -> Failure | None:
         """Return a failure if the response could not be sent over the link in time."""
         group = call.start.group
         service_time = self._queue.service_time_of(group)
         times = CallTiming(call.target, call.deadline, service_time)
-        late = self._link.lateness(group, times, now)
+        late = self._pacer.lateness(group, times, now)
         if not late:
             return None
         return Failure(ErrorKind.DEADLINE_TOO_SHORT, NO_LINK_CAPACITY, retry_after=late)
--- a/src/limelever/agent/calls.py
+++ b/src/limelever/agent/calls.py
@@ -19,10 +19,10 @@
 from limelever.quarantine.fingerprint import Fingerprint
 
 ATTEMPT_GENERATION_SECONDS = 30.0
-"""Attempt identifiers are remembered for one to two generations."""
+"""Length of a generation; attempt identifiers are remembered for one to two of them."""
 
 ATTEMPTS_PER_GENERATION = 50_000
-"""Once this many identifiers are remembered, further calls are refused."""
+"""Once a generation holds this many identifiers, further calls are refused."""
 
 
 class CallStage(Enum):
--- a/src/limelever/agent/core.py
+++ b/src/limelever/agent/core.py
@@ -166,7 +166,7 @@
         if self._finished:
             return outputs
         outputs.extend(self._calls.grant_body_credit(now))
-        outputs.extend(self._calls.send_response_parts(now))
+        outputs.extend(self._calls.send_paced_responses(now))
         outputs.extend(
             self._registration.report_crashes(self._calls.backend.take_crash_news(), now)
         )
@@ -353,4 +353,5 @@
 
 
 def _is_accepted(connection: ConnectionId) -> bool:
+    """Return whether the peer opened the connection; dialled connections have even numbers."""
     return connection % 2 == 1
--- a/src/limelever/agent/crash_detector.py
+++ b/src/limelever/agent/crash_detector.py
@@ -50,7 +50,7 @@
 
 
 class _EndedCall(Struct, frozen=True):
-    suspected: SuspectRequest
+    suspect: SuspectRequest
     at: float
 
 
@@ -70,16 +70,16 @@
         """Return whether a connection broke and the state of the process is not known yet."""
         return self._first_failure_at is not None
 
-    def connection_lost(self, held: HeldCall, suspected: SuspectRequest, now: float) -> None:
+    def connection_lost(self, held: HeldCall, suspect: SuspectRequest, now: float) -> None:
         """Hold a call whose connection broke before it was answered."""
         self._held.append(held)
-        self._ended.append(_EndedCall(suspected, now))
+        self._ended.append(_EndedCall(suspect, now))
         if self._first_failure_at is None:
             self._first_failure_at = self._check_at = now
 
-    def call_abandoned(self, suspected: SuspectRequest, now: float) -> None:
+    def call_abandoned(self, suspect: SuspectRequest, now: float) -> None:
         """Record a running call that the agent cancelled or that timed out."""
-        self._ended.append(_EndedCall(suspected, now))
+        self._ended.append(_EndedCall(suspect, now))
 
     def connect_failed(self, now: float) -> None:
         """Record that no connection could be opened for a call, so a check is needed.
@@ -124,7 +124,7 @@
 
     def take_suspects(self, since: float) -> tuple[SuspectRequest, ...]:
         """Return the distinct requests that ended since this time, and forget all ended calls."""
-        suspects = dict.fromkeys(each.suspected for each in self._ended if each.at >= since)
+        suspects = dict.fromkeys(each.suspect for each in self._ended if each.at >= since)
         self._ended.clear()
         return tuple(suspects)
 
--- a/src/limelever/agent/interface.py
+++ b/src/limelever/agent/interface.py
@@ -109,14 +109,14 @@
 
 
 class ConfigurationShared(Event, frozen=True):
-    """The process installed a configuration that its agent uses as well."""
+    """The process that hosts the agent installed a configuration, which the agent uses too."""
 
     version: int
     configuration: ConfigurationSet
 
 
 class RelaysShared(Event, frozen=True):
-    """The process received a list of relays that its agent uses as well."""
+    """The process that hosts the agent received a list of relays, which the agent uses too."""
 
     received: PublishersReceived
 
--- a/src/limelever/agent/liveness.py
+++ b/src/limelever/agent/liveness.py
@@ -17,7 +17,7 @@
 """Multiple of its usual service time after which a call is overdue."""
 
 OVERDUE_MARGIN_SECONDS = 0.1
-"""Added to the limit, since the agent's own process may be delayed for as long."""
+"""Added to the limit, so that a delay of the agent's own process makes no call overdue."""
 
 DEFAULT_SERVICE_TIME_SECONDS = 0.5
 """Service time assumed while none was observed; allows for cold starts."""
--- a/src/limelever/agent/registration.py
+++ b/src/limelever/agent/registration.py
@@ -131,8 +131,8 @@
     def replace_relays(self, received: PublishersReceived, now: float) -> list[Output]:
         """Replace the list of relays; the current one stays in use while it answers.
 
-        If another relay is preferred, the endpoint is registered there instead: the proxies of its
-        zone receive load reports from the preferred relay first.
+        If another relay is preferred for this zone, the endpoint is registered there instead, since
+        the proxies of the zone receive load reports from that relay first.
         """
         relays, current = received.addresses, self.relay
         self._relays = relays if current in relays else (*relays, current)
@@ -188,7 +188,7 @@
         return [SendMessage(self._connection, tally)]
 
     def set_version(self, version: str) -> list[Output]:
-        """Set the version of the back end's software and register it."""
+        """Set the version of the back end's software, and register it if already registered."""
         self._endpoint.set_version(version)
         registered = self._phase in (_Phase.LEASED, _Phase.REGISTERING)
         return [self._register()] if registered else []
--- a/src/limelever/agent/response_sender.py
+++ b/src/limelever/agent/response_sender.py
@@ -76,7 +76,7 @@
     ) -> list[Output]:
         """Return what may be sent of a response now, and keep the rest."""
         paced = self._pacer.is_paced(len(response.body))
-        body_bytes = 0 if paced else call_messages.FIRST_PART_BYTES
+        body_bytes = 0 if paced else call_messages.MAX_INLINE_BODY_BYTES
         unsent = memoryview(response.body)[body_bytes:]
         if self._pending_bytes + len(unsent) > self._limit:
             failure = Failure(
@@ -85,7 +85,7 @@
             return [
                 SendMessage(call.connection, call_messages.call_failed(call.start, failure, load))
             ]
-        message = call_messages.first_part(call.start, response, load, body_bytes)
+        message = call_messages.response_start(call.start, response, load, body_bytes)
         first = SendMessage(call.connection, message)
         self._pacer.record_sent(HEAD_OVERHEAD_BYTES + len(message.body), now)
         if not unsent:
@@ -97,7 +97,7 @@
             return [first, *self._chunks(pending)]
         pending.pacer_key = call.number
         self._paced[call.number] = pending
-        initial_credit = call_messages.FIRST_PART_BYTES + INITIAL_WINDOW_BYTES
+        initial_credit = call_messages.MAX_INLINE_BODY_BYTES + INITIAL_WINDOW_BYTES
         self._pacer.add(call.number, len(unsent), initial_credit, call.target)
         return [first]
 
--- a/src/limelever/agent/version_outcomes.py
+++ b/src/limelever/agent/version_outcomes.py
@@ -9,7 +9,7 @@
 from limelever.rollout.tally import Tally
 
 REPORT_INTERVAL_SECONDS = 0.2
-"""Minimum time between two reports: it delays the detection of a bad version."""
+"""Minimum time between two reports; delays the detection of a bad version by as much."""
 
 
 class VersionOutcomeCounter:
