--- a/features/agent/calls.feature
+++ b/features/agent/calls.feature
@@ -46,7 +46,7 @@
     When the agent gets a call on agent stream 1 with 10 seconds left
     And the proxy sends a cancel for agent stream 1
     Then the attempt of agent stream 1 is cancelled at the back end
-    And its slot is busy until the back end's request has ended
+    And its slot is busy until the request to the back end has ended
     And agent stream 1 has failed with cancelled
 
   Scenario: Credit for a body is granted when its call can be queued
@@ -86,7 +86,7 @@
   Scenario Outline: A failed attempt is reported with an accurate error kind
     Given an agent of incarnation 7 with 1 slots and a proxy
     When the agent gets a call on agent stream 1 with 10 seconds left
-    And its attempt fails with <failure> and <sent> byte sent
+    And its attempt fails with <failure> and <sent> bytes sent
     Then agent stream 1 has failed with <answer>
 
     Examples:
@@ -123,4 +123,4 @@
     Then the agent's drain has not finished
     When 6 seconds pass at the agent
     Then agent stream 1 has failed with deadline-exceeded
-    And the drain has finished with 0 calls cut off
+    And the drain has finished with 0 calls cancelled
--- a/features/agent/drain.feature
+++ b/features/agent/drain.feature
@@ -11,7 +11,7 @@
     When the agent's back end answers agent stream 1
     Then agent stream 1 has its answer
     When 1.5 seconds pass at the agent
-    Then the drain has finished with 0 calls cut off
+    Then the drain has finished with 0 calls cancelled
     And the relay is told that the agent is gone
 
   Scenario: Queued calls are refused after a short time
@@ -28,5 +28,5 @@
     When the agent gets a call on agent stream 1 with 90 seconds left
     And the agent is asked to drain
     And 26 seconds pass at the agent
-    Then the drain has finished with 1 calls cut off
+    Then the drain has finished with 1 calls cancelled
     And agent stream 1 has failed with backend-failed
--- a/features/agent/unresponsive_back_end.feature
+++ b/features/agent/unresponsive_back_end.feature
@@ -24,7 +24,7 @@
     And agent stream 3 has no answer yet
     When the agent gets a call on agent stream 5 with 10 seconds left
     Then agent stream 5 has failed with connection-failed
-    And the last load that the agent reported is 255
+    And the last load that the agent reported is the maximum, 255
 
   Scenario: Calls are accepted again as soon as a connection opens
     When the agent gets a call on agent stream 2 with 10 seconds left
@@ -58,7 +58,7 @@
       | are refused | reachable   |
       | hang        | unreachable |
 
-  Scenario: A process that is held up during a check does not report its back end as unresponsive
+  Scenario: A process that is delayed during a check does not report its back end as unresponsive
     Guards against a false positive when the agent itself gets no processor time for longer than the check allows.
     Given a back end whose new connections open
     Then a process that is delayed for 0.3 seconds during a connection check finds the back end reachable
--- a/features/platform/node_start.feature
+++ b/features/platform/node_start.feature
@@ -17,8 +17,8 @@
       | with an id alone                   | names i-1 with 0 slots |
       | with a load that is no list        | names i-1 with 0 slots |
       | with a load of too many digits     | names i-1 with 0 slots |
-      | with id and load, but not well     | names nobody           |
-      | without an id                      | names nobody           |
+      | with id and load, but unhealthy    | names no instance      |
+      | without an id                      | names no instance      |
 
   Scenario: An instance that starts again under its identifier is used, and others take nobody's place
     Given a control process and a node of the platform beside a back end with 1 slot
--- a/features/steps/agent_harness.py
+++ b/features/steps/agent_harness.py
@@ -52,7 +52,7 @@
 HYPOTHESIS_SETTINGS = settings(derandomize=True, max_examples=60, deadline=None, database=None)
 FAR_FUTURE_SECONDS = 1e9
 RELAYS = (Address("10.0.0.1", 1), Address("10.0.0.2", 1))
-PROXY_LINK = 1
+PROXY_CONNECTION = 1
 SHED_GROUP = "g0"
 PROXY = Peer(Role.PROXY, "proxy-1", "lodz-a", Purpose.CALLS)
 RELAY = Peer(Role.RELAY, "relay-1", "lodz-a", Purpose.REGISTRATION)
@@ -104,21 +104,21 @@
         self.now = until
 
     def add_proxy(self) -> None:
-        self.handle(ConnectionOpened(PROXY_LINK, PROXY))
+        self.handle(ConnectionOpened(PROXY_CONNECTION, PROXY))
 
     def send(self, message: object) -> None:
-        self.handle(MessageReceived(PROXY_LINK, message))  # type: ignore[arg-type]
+        self.handle(MessageReceived(PROXY_CONNECTION, message))  # type: ignore[arg-type]
 
     def register(self) -> None:
         self.handle(BackendProbed(True))
-        self.relay_link = next(
+        self.relay_connection = next(
             output.connection
             for output in self.outputs
             if isinstance(output, OpenConnection) and output.purpose is Purpose.REGISTRATION
         )
-        self.handle(ConnectionOpened(self.relay_link, RELAY))
+        self.handle(ConnectionOpened(self.relay_connection, RELAY))
         grant = LeaseGranted(lease_ms=6000, incarnation=7)
-        self.handle(MessageReceived(self.relay_link, grant))
+        self.handle(MessageReceived(self.relay_connection, grant))
 
     def install(self, *resources: Resource) -> None:
         (dial,) = (o for o in self.outputs_of(OpenConnection) if o.purpose is Purpose.SUBSCRIPTION)
@@ -137,8 +137,10 @@
     def outputs_of(self, kind: type[Output]) -> list[Output]:
         return [output for output in self.outputs if isinstance(output, kind)]
 
-    def sent(self, link: int, kind: type) -> list[object]:
-        sent = (o for o in self.outputs if isinstance(o, SendMessage) and o.connection == link)
+    def sent(self, connection: int, kind: type) -> list[object]:
+        sent = (
+            o for o in self.outputs if isinstance(o, SendMessage) and o.connection == connection
+        )
         return [output.message for output in sent if isinstance(output.message, kind)]
 
     def attempt_of(self, stream: int) -> int:
--- a/features/steps/agent_registration_steps.py
+++ b/features/steps/agent_registration_steps.py
@@ -66,13 +66,13 @@
 
 
 class RegistrationHarness:
-    """A registration that holds a lease; the test takes the part of its relay."""
+    """A registration that holds a lease; the test acts as its relay."""
 
     def __init__(self, lease_ms: int) -> None:
         self.registration = Registration(REGISTRATION, 7, DialledConnections(), random.Random(3))
         self.now = 0.0
         self.outputs: list[Output] = self.registration.start(self.now)
-        self.handle(ConnectionOpened(self.link, RELAY))
+        self.handle(ConnectionOpened(self.connection, RELAY))
         self.receive(LeaseGranted(lease_ms=lease_ms, incarnation=7))
         self.relay = self.registration.relay
 
@@ -81,7 +81,7 @@
         return [output for output in self.outputs if isinstance(output, OpenConnection)]
 
     @property
-    def link(self) -> int:
+    def connection(self) -> int:
         return self.dials[-1].connection
 
     def messages(self, kind: type) -> list[object]:
@@ -92,7 +92,7 @@
         self.outputs.extend(self.registration.handle(event, self.now))
 
     def receive(self, message: object) -> None:
-        self.handle(MessageReceived(self.link, message))  # type: ignore[arg-type]
+        self.handle(MessageReceived(self.connection, message))  # type: ignore[arg-type]
 
     def pass_next_deadline(self) -> None:
         due = self.registration.next_deadline()
@@ -128,7 +128,7 @@
 @when("the connection to its relay closes and its next deadline comes")
 def relay_closes(context: Context) -> None:
     harness = context.registration
-    harness.handle(ConnectionClosed(harness.link, "lost"))
+    harness.handle(ConnectionClosed(harness.connection, "lost"))
     harness.pass_next_deadline()
 
 
--- a/features/steps/agent_steps.py
+++ b/features/steps/agent_steps.py
@@ -7,7 +7,7 @@
 from agent_harness import (
     FAR_FUTURE_SECONDS,
     HYPOTHESIS_SETTINGS,
-    PROXY_LINK,
+    PROXY_CONNECTION,
     AgentHarness,
     call_start,
 )
@@ -115,14 +115,14 @@
 
 @then("the agent gave credit on agent stream {stream:d}")
 def gave_credit(context: Context, stream: int) -> None:
-    (credit,) = context.agent.sent(PROXY_LINK, CallCredit)
+    (credit,) = context.agent.sent(PROXY_CONNECTION, CallCredit)
     assert credit.stream == stream
     assert credit.bytes > 0
 
 
 @then("the agent gave no credit")
 def gave_no_credit(context: Context) -> None:
-    assert context.agent.sent(PROXY_LINK, CallCredit) == []
+    assert context.agent.sent(PROXY_CONNECTION, CallCredit) == []
 
 
 @when("the proxy sends a cancel for agent stream {stream:d}")
@@ -131,13 +131,13 @@
 
 
 @when("the proxy sends a cancel for agent stream {stream:d} unless it was started")
-def send_cancel_unless_begun(context: Context, stream: int) -> None:
+def send_cancel_unless_started(context: Context, stream: int) -> None:
     context.agent.send(CallCancel(stream=stream, unless_begun=True))
 
 
 @when("the agent's connection to its proxy closes")
 def close_proxy_connection(context: Context) -> None:
-    context.agent.handle(ConnectionClosed(PROXY_LINK, "lost"))
+    context.agent.handle(ConnectionClosed(PROXY_CONNECTION, "lost"))
 
 
 @when("the agent's clock moves to its next call deadline")
@@ -170,7 +170,7 @@
     context.agent.handle(AttemptAnswered(attempt, 200, (), context.body))
 
 
-@when("its attempt fails with {kind:S} and {sent:S} byte sent")
+@when("its attempt fails with {kind:S} and {sent:S} bytes sent")
 def fail_attempt(context: Context, kind: str, sent: str) -> None:
     failure = Failure(ErrorKind(kind), "broken")
     context.agent.handle(AttemptFailed(context.agent.attempt_of(1), failure, sent == "some"))
@@ -178,7 +178,7 @@
 
 @then("agent stream {stream:d} has failed with {kind:S}")
 def check_failed(context: Context, stream: int, kind: str) -> None:
-    failed = [m for m in context.agent.sent(PROXY_LINK, CallFailed) if m.stream == stream]
+    failed = [m for m in context.agent.sent(PROXY_CONNECTION, CallFailed) if m.stream == stream]
     assert [message.kind for message in failed] == [kind], failed
 
 
@@ -199,7 +199,7 @@
     assert cancelled == [context.agent.attempt_of(stream)]
 
 
-@then("its slot is busy until the back end's request has ended")
+@then("its slot is busy until the request to the back end has ended")
 def check_slot(context: Context) -> None:
     agent = context.agent
     assert agent.core.running == 1
@@ -219,8 +219,8 @@
 
 
 def answer_parts(context: Context) -> list[ResponseStart | ResponseBody]:
-    (first,) = context.agent.sent(PROXY_LINK, ResponseStart)
-    return [first, *context.agent.sent(PROXY_LINK, ResponseBody)]
+    (first,) = context.agent.sent(PROXY_CONNECTION, ResponseStart)
+    return [first, *context.agent.sent(PROXY_CONNECTION, ResponseBody)]
 
 
 def answer_bytes_of(parts: list[ResponseStart | ResponseBody]) -> bytes:
@@ -261,7 +261,7 @@
 
 @then("the failure of agent stream {stream:d} has a retry-after time")
 def check_retry_after(context: Context, stream: int) -> None:
-    failed = [m for m in context.agent.sent(PROXY_LINK, CallFailed) if m.stream == stream]
+    failed = [m for m in context.agent.sent(PROXY_CONNECTION, CallFailed) if m.stream == stream]
     assert failed[0].retry_after_ms > 0
 
 
@@ -311,7 +311,7 @@
                 self.call(again)
             case "cancel":
                 stream = next(iter(self.running.values()), 0) if flag else number
-                self.take(self.service.cancel(PROXY_LINK, CallCancel(stream=stream)))
+                self.take(self.service.cancel(PROXY_CONNECTION, CallCancel(stream=stream)))
             case "answer" if self.running:
                 attempt = self.end_one(number)
                 self.take(
@@ -332,7 +332,7 @@
         return attempt
 
     def call(self, start: CallStart) -> None:
-        self.take(self.service.start(PROXY_LINK, "proxy-1", start, self.now))
+        self.take(self.service.start(PROXY_CONNECTION, "proxy-1", start, self.now))
 
     def take(self, outputs: list[Output]) -> None:
         for output in outputs:
@@ -399,22 +399,22 @@
 
 @then("the relay is told that the agent is draining")
 def check_draining(context: Context) -> None:
-    last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
+    last = context.agent.sent(context.agent.relay_connection, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_DRAINING
 
 
 @then("the relay is told that the agent is gone")
 def check_gone(context: Context) -> None:
-    last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
+    last = context.agent.sent(context.agent.relay_connection, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_GONE
 
 
 @then("agent stream {stream:d} has its answer")
 def check_answered(context: Context, stream: int) -> None:
-    answered = context.agent.sent(PROXY_LINK, ResponseStart)
+    answered = context.agent.sent(PROXY_CONNECTION, ResponseStart)
     assert [message.stream for message in answered] == [stream]
 
 
-@then("the drain has finished with {count:d} calls cut off")
+@then("the drain has finished with {count:d} calls cancelled")
 def check_drained(context: Context, count: int) -> None:
     assert [output.cut_off for output in context.agent.outputs_of(DrainFinished)] == [count]
--- a/features/steps/back_end_crash_steps.py
+++ b/features/steps/back_end_crash_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_harness import PROXY_LINK, AgentHarness
+from agent_harness import PROXY_CONNECTION, AgentHarness
 from behave import then, when
 from behave.runner import Context
 
@@ -34,7 +34,7 @@
 LONGEST_PAUSE = 30.0
 
 
-def end_connection(agent: AgentHarness, stream: int) -> None:
+def break_attempt(agent: AgentHarness, stream: int) -> None:
     attempt = agent.attempt_of(stream)
     agent.handle(
         AttemptFailed(attempt, CONNECTION_BROKE, sent_any_byte=True, connection_ended=True)
@@ -51,18 +51,18 @@
     return Fingerprint.of("orders", b"GET", str(stream).encode(), b"").request
 
 
-@when("the connection of agent stream {stream:d} ends")
+@when("the back end connection of agent stream {stream:d} breaks")
 def break_connection(context: Context, stream: int) -> None:
-    end_connection(context.agent, stream)
+    break_attempt(context.agent, stream)
 
 
-@when("the connections of agent streams {first:d} and {second:d} end")
+@when("the back end connections of agent streams {first:d} and {second:d} break")
 def break_connections(context: Context, first: int, second: int) -> None:
-    end_connection(context.agent, first)
-    end_connection(context.agent, second)
+    break_attempt(context.agent, first)
+    break_attempt(context.agent, second)
 
 
-@when("no connection opens for agent stream {stream:d}")
+@when("no back end connection opens for agent stream {stream:d}")
 def fail_to_connect(context: Context, stream: int) -> None:
     agent: AgentHarness = context.agent
     refused = Failure(ErrorKind.BACKEND_FAILED, "connection did not open")
@@ -88,7 +88,7 @@
 @when("the proxy cancels agent stream {stream:d} while it runs at the back end")
 def cancel_running_call(context: Context, stream: int) -> None:
     agent: AgentHarness = context.agent
-    agent.handle(MessageReceived(PROXY_LINK, CallCancel(stream=stream)))
+    agent.handle(MessageReceived(PROXY_CONNECTION, CallCancel(stream=stream)))
     cancelled = Failure(ErrorKind.CANCELLED, "cancelled")
     agent.handle(AttemptFailed(agent.attempt_of(stream), cancelled, sent_any_byte=True))
 
@@ -103,9 +103,9 @@
     context.agent.handle(BackendGone())
 
 
-@when("the agent's relay link is lost")
+@when("the agent's connection to its relay closes")
 def lose_relay_connection(context: Context) -> None:
-    context.agent.handle(ConnectionClosed(context.agent.relay_link, "lost"))
+    context.agent.handle(ConnectionClosed(context.agent.relay_connection, "lost"))
 
 
 @when("the agent is registered again")
@@ -114,15 +114,15 @@
     before = len(agent.outputs_of(OpenConnection))
     while len(agent.outputs_of(OpenConnection)) == before:
         agent.advance(1.0)
-    link = agent.outputs_of(OpenConnection)[-1].connection
-    agent.handle(ConnectionOpened(link, RELAY))
-    agent.handle(MessageReceived(link, LeaseGranted(lease_ms=6000, incarnation=7)))
+    connection = agent.outputs_of(OpenConnection)[-1].connection
+    agent.handle(ConnectionOpened(connection, RELAY))
+    agent.handle(MessageReceived(connection, LeaseGranted(lease_ms=6000, incarnation=7)))
 
 
 @then("both failures have one crash number, which the relay received with both requests")
 def check_one_crash(context: Context) -> None:
     agent: AgentHarness = context.agent
-    failed = agent.sent(PROXY_LINK, CallFailed)
+    failed = agent.sent(PROXY_CONNECTION, CallFailed)
     crashes = {each.crash for each in failed if each.kind == ErrorKind.BACKEND_CRASHED.value}
     assert len(crashes) == 1 and 0 not in crashes, failed
     suspects = reported_suspects(agent)
--- a/features/steps/backend_refusal_steps.py
+++ b/features/steps/backend_refusal_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_harness import PROXY_LINK
+from agent_harness import PROXY_CONNECTION
 from behave import then, when
 from behave.runner import Context
 
@@ -20,7 +20,7 @@
 
 
 def retry_ms(context: Context, stream: int) -> int:
-    sent = context.agent.sent(PROXY_LINK, CallFailed)
+    sent = context.agent.sent(PROXY_CONNECTION, CallFailed)
     return next(message.retry_after_ms for message in sent if message.stream == stream)
 
 
--- a/features/steps/body_credit_steps.py
+++ b/features/steps/body_credit_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_harness import PROXY_LINK, AgentHarness, call_start
+from agent_harness import PROXY_CONNECTION, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -131,5 +131,5 @@
 
 @then("agent stream {stream:d} has not failed")
 def not_failed(context: Context, stream: int) -> None:
-    failures = context.agent.sent(PROXY_LINK, CallFailed)
+    failures = context.agent.sent(PROXY_CONNECTION, CallFailed)
     assert stream not in [failure.stream for failure in failures], failures
--- a/features/steps/health_response_steps.py
+++ b/features/steps/health_response_steps.py
@@ -19,7 +19,7 @@
         200,
         (ID, (b"Limelever-Server-Load", b"0,0," + b"9" * 5000)),
     ),
-    "with id and load, but not well": (503, (ID, LOAD)),
+    "with id and load, but unhealthy": (503, (ID, LOAD)),
     "without an id": (200, (LOAD,)),
 }
 
@@ -31,7 +31,7 @@
     assert identity == InstanceIdentity(instance, slots), identity
 
 
-@then("a health response {what} names nobody")
-def names_nobody(context, what):
+@then("a health response {what} names no instance")
+def names_no_instance(context, what):
     status, headers = RESPONSES[what]
     assert parse_instance_identity(HttpAnswer(status, headers, b""), NAMES) is None
--- a/features/steps/instance_pace_steps.py
+++ b/features/steps/instance_pace_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_harness import PROXY_LINK
+from agent_harness import PROXY_CONNECTION
 from balancing_steps import SERVICE, balancer_of, view_of
 from behave import given, then, when
 from behave.runner import Context
@@ -53,7 +53,7 @@
 
 @then("the last answer carries a pace of {pace:d}")
 def last_carries(context: Context, pace: int) -> None:
-    last = context.agent.sent(PROXY_LINK, ResponseStart)[-1]
+    last = context.agent.sent(PROXY_CONNECTION, ResponseStart)[-1]
     assert last.load.pace_permille == pace, last
 
 
--- a/features/steps/response_pacing_steps.py
+++ b/features/steps/response_pacing_steps.py
@@ -4,7 +4,7 @@
 
 from itertools import pairwise
 
-from agent_harness import PROXY_LINK, AgentHarness, call_start
+from agent_harness import PROXY_CONNECTION, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -177,9 +177,11 @@
 
 def sent_body(agent: AgentHarness, stream: int) -> tuple[int, list[bool]]:
     """Return the number of body bytes sent, and the end flag of each message."""
-    heads = [head for head in agent.sent(PROXY_LINK, ResponseStart) if head.stream == stream]
+    heads = [head for head in agent.sent(PROXY_CONNECTION, ResponseStart) if head.stream == stream]
     assert len(heads) == 1, heads
-    chunks = [chunk for chunk in agent.sent(PROXY_LINK, ResponseBody) if chunk.stream == stream]
+    chunks = [
+        chunk for chunk in agent.sent(PROXY_CONNECTION, ResponseBody) if chunk.stream == stream
+    ]
     size = len(heads[0].body) + sum(len(chunk.data) for chunk in chunks)
     return size, [heads[0].end, *(chunk.end for chunk in chunks)]
 
@@ -211,7 +213,7 @@
 
 @then("the proxy of agent stream {stream:d} was told to retry after {least:d} to {most:d} ms")
 def told_retry(context: Context, stream: int, least: int, most: int) -> None:
-    failures = context.agent.sent(PROXY_LINK, CallFailed)
+    failures = context.agent.sent(PROXY_CONNECTION, CallFailed)
     (failure,) = [each for each in failures if each.stream == stream]
     assert least <= failure.retry_after_ms <= most, failure
 
--- a/features/steps/shared_configuration_steps.py
+++ b/features/steps/shared_configuration_steps.py
@@ -4,7 +4,7 @@
 
 import random
 
-from agent_harness import PROXY, PROXY_LINK, RELAY, call_start
+from agent_harness import PROXY, PROXY_CONNECTION, RELAY, call_start
 from behave import given, then, when
 from behave.runner import Context
 
@@ -53,7 +53,7 @@
     tell(context, ConnectionOpened(dial.connection, RELAY))
     grant = LeaseGranted(lease_ms=6000, incarnation=7)
     tell(context, MessageReceived(dial.connection, grant))
-    tell(context, ConnectionOpened(PROXY_LINK, PROXY))
+    tell(context, ConnectionOpened(PROXY_CONNECTION, PROXY))
 
 
 @when("its process shares a configuration with a largest body of {size:d} bytes")
@@ -67,7 +67,7 @@
 @then("a call with a body of {over:d} bytes is refused there, and one of {within:d} is not")
 def refused_over(context: Context, over: int, within: int) -> None:
     for stream, size in ((1, over), (2, within)):
-        tell(context, MessageReceived(PROXY_LINK, call_start(stream, body=bytes(size))))
+        tell(context, MessageReceived(PROXY_CONNECTION, call_start(stream, body=bytes(size))))
     sent = [output.message for output in context.outputs if isinstance(output, SendMessage)]
     failed = [message.stream for message in sent if isinstance(message, CallFailed)]
     assert failed == [1], failed
--- a/features/steps/tenant_scheduling_steps.py
+++ b/features/steps/tenant_scheduling_steps.py
@@ -7,7 +7,7 @@
 import random
 from collections import Counter
 
-from agent_harness import HYPOTHESIS_SETTINGS, PROXY_LINK, call_start
+from agent_harness import HYPOTHESIS_SETTINGS, PROXY_CONNECTION, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -247,7 +247,7 @@
     outputs: list[Output] = []
     for stream in range(1, 2 * count + 1):
         start = call_start(stream, tenant=("hot", "small")[stream % 2], deadline_left_ms=900_000)
-        outputs += service.start(PROXY_LINK, "proxy-1", start, 0.0)
+        outputs += service.start(PROXY_CONNECTION, "proxy-1", start, 0.0)
     for index in range(rounds):
         attempts = [output for output in outputs if isinstance(output, StartAttempt)]
         answer = AttemptAnswered(attempts[index].attempt, 200, (), b"")
--- a/features/steps/unresponsive_back_end_steps.py
+++ b/features/steps/unresponsive_back_end_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import trio
-from agent_harness import PROXY_LINK, AgentHarness, call_start
+from agent_harness import PROXY_CONNECTION, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 
@@ -61,7 +61,7 @@
 @then("agent stream {stream:d} has no answer yet")
 def check_unanswered(context: Context, stream: int) -> None:
     agent: AgentHarness = context.agent
-    ends = [*agent.sent(PROXY_LINK, CallFailed), *agent.sent(PROXY_LINK, ResponseStart)]
+    ends = [*agent.sent(PROXY_CONNECTION, CallFailed), *agent.sent(PROXY_CONNECTION, ResponseStart)]
     assert stream not in [end.stream for end in ends], ends
 
 
@@ -71,7 +71,7 @@
     assert str(stream).encode() in targets, targets
 
 
-@then("the last load that the agent reported is {load:d}")
+@then("the last load that the agent reported is the maximum, {load:d}")
 def check_last_load(context: Context, load: int) -> None:
     sent = [output.message for output in context.agent.outputs_of(SendMessage)]
     reports = [message for message in sent if isinstance(message, LoadReport)]
