--- a/features/steps/instance_pace_steps.py
+++ b/features/steps/instance_pace_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK
+from agent_harness import PROXY_CONNECTION
 from balancing_steps import SERVICE, balancer_of, view_of
 from behave import given, then, when
 from behave.runner import Context
@@ -40,20 +40,20 @@
 @when("the back end answers agent stream {stream:d} at a pace of {pace:d}")
 def answers_at(context: Context, stream: int, pace: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), b"", pace))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), b"", pace))
 
 
 @then('the agent has reported the paces "{paces}" to its relay')
 @then('the agent has reported the paces "" to its relay')
 def has_reported(context: Context, paces: str = "") -> None:
-    sent = [output.message for output in context.agent.of(SendMessage)]
+    sent = [output.message for output in context.agent.outputs_of(SendMessage)]
     reported = [message.pace_permille for message in sent if isinstance(message, LoadReport)]
     assert reported == [int(each) for each in paces.split(", ") if each], reported
 
 
 @then("the last answer carries a pace of {pace:d}")
 def last_carries(context: Context, pace: int) -> None:
-    last = context.agent.sent(PROXY_LINK, ResponseStart)[-1]
+    last = context.agent.sent(PROXY_CONNECTION, ResponseStart)[-1]
     assert last.load.pace_permille == pace, last
 
 
--- a/features/steps/response_pacing_steps.py
+++ b/features/steps/response_pacing_steps.py
@@ -4,7 +4,7 @@
 
 from itertools import pairwise
 
-from agent_bench import PROXY_LINK, AgentBench, call_start
+from agent_harness import PROXY_CONNECTION, AgentHarness, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -167,7 +167,7 @@
 @when("the back end answers agent stream {stream:d} with {size:d} bytes")
 def answered(context: Context, stream: int, size: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), bytes(size)))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), bytes(size)))
 
 
 @when("the agent's clock advances by {seconds:g} seconds")
@@ -175,11 +175,13 @@
     context.agent.advance(seconds)
 
 
-def sent_body(agent: AgentBench, stream: int) -> tuple[int, list[bool]]:
+def sent_body(agent: AgentHarness, stream: int) -> tuple[int, list[bool]]:
     """Return the number of body bytes sent, and the end flag of each message."""
-    heads = [head for head in agent.sent(PROXY_LINK, ResponseStart) if head.stream == stream]
+    heads = [head for head in agent.sent(PROXY_CONNECTION, ResponseStart) if head.stream == stream]
     assert len(heads) == 1, heads
-    chunks = [chunk for chunk in agent.sent(PROXY_LINK, ResponseBody) if chunk.stream == stream]
+    chunks = [
+        chunk for chunk in agent.sent(PROXY_CONNECTION, ResponseBody) if chunk.stream == stream
+    ]
     size = len(heads[0].body) + sum(len(chunk.data) for chunk in chunks)
     return size, [heads[0].end, *(chunk.end for chunk in chunks)]
 
@@ -205,13 +207,13 @@
 
 @then("agent stream {stream:d} was never sent to the back end")
 def never_sent(context: Context, stream: int) -> None:
-    targets = [attempt.target for attempt in context.agent.of(StartAttempt)]
+    targets = [attempt.target for attempt in context.agent.outputs_of(StartAttempt)]
     assert str(stream).encode() not in targets, targets
 
 
 @then("the proxy of agent stream {stream:d} was told to retry after {least:d} to {most:d} ms")
 def told_retry(context: Context, stream: int, least: int, most: int) -> None:
-    failures = context.agent.sent(PROXY_LINK, CallFailed)
+    failures = context.agent.sent(PROXY_CONNECTION, CallFailed)
     (failure,) = [each for each in failures if each.stream == stream]
     assert least <= failure.retry_after_ms <= most, failure
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from limelever.agent.version_tally import VersionCount
+from limelever.agent.version_outcomes import VersionOutcomeCounter
 from limelever.common.sansio import Address
 from limelever.protocol.config_pb2 import (
     CALL_KIND_REPEATABLE,
@@ -347,35 +347,35 @@
 
 @given('an agent\'s count of version "v2" whose back end warms up for {seconds:d} seconds')
 def step_agent_count(context, seconds):
-    context.count = VersionCount("orders", "one", "")
-    context.count.take_version("v2", float(seconds), 0.0)
+    context.count = VersionOutcomeCounter("orders", "one", "")
+    context.count.set_version("v2", float(seconds), 0.0)
 
 
 @when("a rollout runs and calls end at 1, 4 and 4.1 seconds")
 def step_calls_end(context):
-    context.count.follow(Rollout(state=ROLLOUT_STATE_RUNNING, ordered_at_ms=7))
+    context.count.track_rollout(Rollout(state=ROLLOUT_STATE_RUNNING, ordered_at_ms=7))
     for now in (1.0, 4.0, 4.1):
-        context.count.ended("one", 0.5, False, now)
+        context.count.record_call("one", 0.5, False, now)
 
 
 @then("2 calls are reported, and nothing more until another ends")
 def step_reported(context):
-    report = context.count.take_news(5.0)
+    report = context.count.take_report(5.0)
     assert (answer_count(report), report.version, report.rollout) == (2, "v2", 7), report
-    assert context.count.take_news(6.0) is None
-    context.count.ended("one", 0.5, False, 7.0)
-    assert answer_count(context.count.take_news(7.0)) == 3
+    assert context.count.take_report(6.0) is None
+    context.count.record_call("one", 0.5, False, 7.0)
+    assert answer_count(context.count.take_report(7.0)) == 3
 
 
 @when("the rollout is over")
 def step_rollout_over(context):
-    context.count.follow(Rollout(state=ROLLOUT_STATE_COMPLETED, ordered_at_ms=7))
+    context.count.track_rollout(Rollout(state=ROLLOUT_STATE_COMPLETED, ordered_at_ms=7))
 
 
 @then("ended calls are not counted")
 def step_not_counted(context):
-    context.count.ended("one", 0.5, False, 9.0)
-    assert context.count.take_news(9.0) is None
+    context.count.record_call("one", 0.5, False, 9.0)
+    assert context.count.take_report(9.0) is None
 
 
 @given("a relay's tally store with another relay subscribed")
--- a/features/steps/tenant_scheduling_steps.py
+++ b/features/steps/tenant_scheduling_steps.py
@@ -7,7 +7,7 @@
 import random
 from collections import Counter
 
-from agent_bench import CASES, PROXY_LINK, call_start
+from agent_harness import HYPOTHESIS_SETTINGS, PROXY_CONNECTION, call_start
 from behave import given, then, when
 from behave.runner import Context
 from hypothesis import given as examples
@@ -125,7 +125,7 @@
 def check_rates(_context: Context) -> None:
     rates = st.lists(st.floats(0.1, 50.0), min_size=2, max_size=6)
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(rates, st.integers(1, 200))
     def serve(drawn: list[float], starts: int) -> None:
         named = {f"t{index}": rate for index, rate in enumerate(drawn)}
@@ -247,11 +247,11 @@
     outputs: list[Output] = []
     for stream in range(1, 2 * count + 1):
         start = call_start(stream, tenant=("hot", "small")[stream % 2], deadline_left_ms=900_000)
-        outputs += service.start(PROXY_LINK, "proxy-1", start, 0.0)
+        outputs += service.start(PROXY_CONNECTION, "proxy-1", start, 0.0)
     for index in range(rounds):
         attempts = [output for output in outputs if isinstance(output, StartAttempt)]
         answer = AttemptAnswered(attempts[index].attempt, 200, (), b"")
-        outputs += service.answered(answer, 0.02 * (index + 1))
+        outputs += service.attempt_answered(answer, 0.02 * (index + 1))
     context.starts = [output for output in outputs if isinstance(output, StartAttempt)]
 
 
--- a/src/limelever/agent/backend_client.py
+++ b/src/limelever/agent/backend_client.py
@@ -13,7 +13,7 @@
     keep_alive_seconds,
 )
 from limelever.agent.headers import encode_request, request_headers
-from limelever.agent.health_answer import FoundInstance, instance_in
+from limelever.agent.health_response import InstanceIdentity, parse_instance_identity
 from limelever.agent.interface import (
     AttemptAnswered,
     AttemptFailed,
@@ -103,10 +103,10 @@
         response = await self._send_probe(path, timeout)
         return response is not None and 200 <= response.status < 300
 
-    async def find_instance(self, path: str, timeout: float) -> FoundInstance | None:
+    async def find_instance(self, path: str, timeout: float) -> InstanceIdentity | None:
         """Return the healthy instance that responds to a health probe, if it names itself."""
         response = await self._send_probe(path, timeout)
-        return instance_in(response, self._names) if response is not None else None
+        return parse_instance_identity(response, self._names) if response is not None else None
 
     def close(self) -> None:
         """Close the idle connections."""
--- a/src/limelever/node/agent_supervisor.py
+++ b/src/limelever/node/agent_supervisor.py
@@ -18,7 +18,7 @@
 
 from limelever.agent.backend_client import BackendClient
 from limelever.agent.core import AgentCore
-from limelever.agent.health_answer import FoundInstance
+from limelever.agent.health_response import InstanceIdentity
 from limelever.agent.interface import (
     BackendGone,
     ConfigurationShared,
@@ -28,7 +28,7 @@
     RelaysShared,
     VersionKnown,
 )
-from limelever.agent.process import options_from, with_pauses
+from limelever.agent.process import build_agent_options, with_registration_backoff
 from limelever.agent.settings import AgentSettings
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import Address, Event, Output, Purpose, Role
@@ -143,7 +143,7 @@
         settings = self._settings
         header_names = settings.headers.names()
         backend = BackendClient(settings.backend, self._nursery, lambda _: None, header_names)
-        found: FoundInstance | None = None
+        found: InstanceIdentity | None = None
         while found is None and not self._tracker.instance and not self._stopping:
             found = await backend.find_instance(path, IDENTIFY_TIMEOUT_SECONDS)
             if found is None:
@@ -202,8 +202,8 @@
     async def _run_agent(self, settings: AgentSettings, report: InstanceReport) -> None:
         instance, warm_up_left = report.instance, report.warm_up_left
         incarnation = time.time_ns() // _NANOSECONDS_PER_MILLISECOND
-        options = with_pauses(
-            options_from(settings, self._settings.listen, None),
+        options = with_registration_backoff(
+            build_agent_options(settings, self._settings.listen, None),
             registration_backoff(self._settings),
         )
         core = AgentCore(options, incarnation, random.Random())
--- a/src/limelever/node/settings.py
+++ b/src/limelever/node/settings.py
@@ -8,7 +8,7 @@
 import attrs
 
 from limelever.agent.settings import (
-    MOST_SLOTS,
+    MAX_SLOTS,
     AgentSettings,
     BackendSettings,
     DrainSettings,
@@ -102,7 +102,7 @@
     probes, so the agent registers without waiting for one to succeed. The number of slots is capped
     at the maximum that the settings allow.
     """
-    slots = min(report.slots or settings.backend.slots, MOST_SLOTS)
+    slots = min(report.slots or settings.backend.slots, MAX_SLOTS)
     return AgentSettings(
         role=Role.AGENT,
         name=name,
