--- a/features/proxy/quarantine.feature
+++ b/features/proxy/quarantine.feature
@@ -4,24 +4,24 @@
     Given a proxy with 3 endpoints
     When the relay tells the proxy of 2 crashes under "/orders/1"
     And a caller asks the proxy for "/orders/1"
-    Then 1 call was handed on
+    Then 1 call was sent to an agent
     When the relay tells the proxy of 3 crashes under "/orders/2"
     And a caller asks the proxy for "/orders/2"
     Then the proxy refused call 2 as "quarantined" with a retry time
-    And the caller of call 2 was told "quarantined" and outcome "not-run"
+    And call 2 failed as "quarantined" with outcome "not-run"
     And the caller of call 2 was told to come back after 60 seconds or later
     When a caller asks the proxy for "/orders/3"
-    Then 2 calls were handed on
+    Then 2 calls were sent to agents
 
   Scenario: A second try serves whoever merely shared the back end, a third would cost another
     Given a proxy with 3 endpoints and retries for every call
     When a caller asks the proxy for "/orders/1"
     And the back end of the call ends as crash 1
-    Then 2 calls were handed on
+    Then 2 calls were sent to agents
     And the call that is open tells its agent of 1 ends in a row
     When the back end of the call ends as crash 2
-    Then 2 calls were handed on
-    And the caller of call 1 was told "backend-crashed" and outcome "unknown"
+    Then 2 calls were sent to agents
+    And call 1 failed as "backend-crashed" with outcome "unknown"
     And the relay was told by the proxy of 2 crashes under "/orders/1"
 
   Scenario: Calls that were sent before any crash was known don't add up
@@ -33,7 +33,7 @@
     And the back end of the call ends as crash 2
     And the back end of the call ends as crash 3
     And a caller asks the proxy for "/orders/1"
-    Then 4 calls were handed on
+    Then 4 calls were sent to agents
 
   Scenario: An answer clears, and the relay hears of it
     Given a proxy with 3 endpoints
@@ -43,7 +43,7 @@
     Then the relay was told by the proxy that 2 crashes under "/orders/1" are cleared
     When the relay tells the proxy of 3 crashes under "/orders/1"
     And a caller asks the proxy for "/orders/1"
-    Then 2 calls were handed on
+    Then 2 calls were sent to agents
 
   Scenario: A failure at the deadline clears nothing: it may have come before the end
     Given a proxy with 3 endpoints
@@ -60,13 +60,13 @@
     And the relay tells the proxy of 3 crashes under "/orders/1"
     Then the agent was asked to give up 1 call unless it has begun
     When the agent refuses the call as "deadline-too-short"
-    Then the caller of call 1 was told "quarantined" and outcome "not-run"
+    Then call 1 failed as "quarantined" with outcome "not-run"
 
   Scenario: A call that waits for its link as its request is convicted is not sent
     Given a proxy with one endpoint whose agent accepts no link
     When a caller asks the proxy for "/orders/1"
     And the relay tells the proxy of 3 crashes under "/orders/1"
-    Then the caller of call 1 was told "quarantined" and outcome "not-run"
+    Then call 1 failed as "quarantined" with outcome "not-run"
 
   Scenario: An at-most-once call is refused before it is claimed, so that its key stays free
     Given a proxy with one endpoint
@@ -81,7 +81,7 @@
     And a caller uploads 25600 bytes
     Then the proxy refused call 1 as "quarantined" with a retry time
     When a caller uploads 25856 bytes
-    Then 1 call was handed on
+    Then 1 call was sent to an agent
 
   Scenario: After its time one call at a time tries; an answer ends the quarantine
     Given a proxy with 3 endpoints
@@ -89,11 +89,11 @@
     And 240.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     And a caller asks the proxy for "/orders/1"
-    Then 1 call was handed on
+    Then 1 call was sent to an agent
     And the proxy refused call 2 as "quarantined" with a retry time
     When the agent answers the call
     And a caller asks the proxy for "/orders/1"
-    Then 2 calls were handed on
+    Then 2 calls were sent to agents
 
   Scenario: A try that ends another back end lasts twice as long, without a second try
     Given a proxy with 3 endpoints and retries for every call
@@ -101,7 +101,7 @@
     And 240.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     And the back end of the call ends as crash 9
-    Then 1 call was handed on
+    Then 1 call was sent to an agent
     When 239.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     Then the proxy refused call 2 as "quarantined" with a retry time
@@ -116,4 +116,4 @@
     Given a proxy whose operators have released "/orders/1"
     When the relay tells the proxy of 3 crashes under "/orders/1"
     And a caller asks the proxy for "/orders/1"
-    Then 1 call was handed on
+    Then 1 call was sent to an agent
--- a/features/proxy/routes.feature
+++ b/features/proxy/routes.feature
@@ -1,4 +1,4 @@
-Feature: Routes by host, split between services, with calls that run once a sending
+Feature: Routing by host, traffic splits, call kinds and retry budgets
 
   Scenario: The host and the longest prefix choose the route
     Given routes for the host "one.example", for "two.example" and for any host
@@ -8,43 +8,43 @@
     And "/shop/7" at "three.example" takes the route "any-shop"
     And "/shop/7" at "two.example" takes no route
 
-  Scenario: A split gives each part its weight in every window
-    Given any weights and any run of calls, each part is within one call of its weight
+  Scenario: A split follows its weights over every window of calls
+    Given any weights and calls, each destination deviates by at most one call per destination
 
-  Scenario: A changed split begins a new round, an unchanged one goes on
+  Scenario: A changed split starts a new round, an unchanged one continues
     Given a split of 90 and 10 that has taken 5 calls
-    Then an unchanged table goes on with its round
-    And a table with other weights begins another
+    Then an unchanged table continues the round
+    And a table with other weights starts a new round
 
-  Scenario Outline: A call that may not run twice goes on only after NOT RUN
-    Given a proxy with a route for calls that run once a sending
+  Scenario Outline: A call that must not run twice is retried only after NOT RUN
+    Given a proxy with a route whose calls run once per attempt
     When the first agent answers the call with <kind>
     Then the call <ends>
 
     Examples:
       | kind              | ends                           |
-      | draining          | goes to another agent          |
-      | backend-refused   | goes to another agent          |
-      | wrong-incarnation | goes to another agent          |
+      | draining          | is retried at another agent    |
+      | backend-refused   | is retried at another agent    |
+      | wrong-incarnation | is retried at another agent    |
       | backend-failed    | ends as backend-failed         |
       | connection-lost   | ends as connection-lost        |
       | outcome-unknown   | ends as backend-failed         |
 
-  Scenario: A second choice after an agent's refusal has a budget of its own, once a call
-    Given a proxy with 50 percent of second choices and no retries saved
+  Scenario: The second choice after an agent's refusal has its own budget and is used once per call
+    Given a proxy with 50 percent of second choices and no saved retries
     When 100 calls are refused by every agent they reach
-    Then at most 70 of them were tried twice and none thrice
+    Then at most 70 of them were tried twice and none more often
 
-  Scenario: An upload whose body nobody has asked for tries four endpoints, without a budget
-    Given a proxy with 50 percent of second choices and no retries saved
+  Scenario: An upload without body credit tries up to four endpoints outside the budget
+    Given a proxy with 50 percent of second choices and no saved retries
     When an upload of 20000 bytes is refused by every agent it reaches
-    Then it was tried at 4 endpoints, each another one, and no byte of its body was sent
+    Then it was tried at 4 distinct endpoints without sending any of its body
 
-  Scenario: What all proxies may save up is shared by their number
+  Scenario: Saved retries are divided by the number of proxies
     Given retry budgets with 38 saved retries for the fleet
     When the fleet has 12 nodes
     Then 3 retries can be taken at once and no more
 
-  Scenario: A table that keeps what did not change is the table built anew
-    Given any changes of routes, services, secrets and tenants, a table built over the former equals one built anew
+  Scenario: An incrementally updated route table equals a rebuilt one
+    Given any changes of routes, services, secrets and tenants, an updated table equals a rebuilt one
     And a route that did not change keeps its entry
--- a/features/proxy/stale_configuration.feature
+++ b/features/proxy/stale_configuration.feature
@@ -1,47 +1,44 @@
-Feature: A proxy says that a route is not there only by a configuration that is proved current
-  Symptom: a node refused a call as no-route 2.10 s after the change that added the route was acknowledged. Sequence:
-  the change was committed; it had not come to the node; a caller used the route. Cause: the proxy took the absence of a
-  route in what it held for a fact, however long ago that had been proved current. What settled it: the refusal came 2 ms
-  after the call, so the node was not held up; with a relay that has gone silent, as here, every call is refused so.
+Feature: A proxy reports a missing route only while its configuration is confirmed current
+  Guards against "no-route" answers from an outdated configuration, for example after the relay stopped responding.
 
-  Scenario: A path without a route, while the configuration is not proved current
+  Scenario: A path without a route while the configuration is stale
     Given a proxy with one endpoint
-    When the proxy's relay falls silent
+    When the proxy's relay stops responding
     And 9.0 seconds pass at the proxy
     And a caller asks the proxy for "/returns/1"
     Then the proxy refused call 1 as "stale" with a retry time
-    And the caller of call 1 was told "stale" and outcome "not-run"
+    And call 1 failed as "stale" with outcome "not-run"
 
-  Scenario: A key that a route asks for, while the configuration is not proved current
+  Scenario: A missing idempotency key while the configuration is stale
     Given a proxy with one endpoint
-    When the proxy's relay falls silent
+    When the proxy's relay stops responding
     And 9.0 seconds pass at the proxy
     And a caller places an order without a key
     Then the proxy refused call 1 as "stale" with a retry time
 
-  Scenario: A refusal that no configuration changes
+  Scenario: A refusal that does not depend on the configuration
     Given a proxy with one endpoint
-    When the proxy's relay falls silent
+    When the proxy's relay stops responding
     And 9.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/../admin"
     Then the proxy refused call 1 as "invalid-request"
 
-  Scenario: A proxy takes the age from its settings
+  Scenario: The maximum age comes from the settings
     Given settings of a proxy whose configuration.stale_after_ms is 1300
-    Then its core tells of a missing route by a proof of at most 1.3 seconds
+    Then its core reports missing routes up to 1.3 seconds after the last freshness proof
 
-  Scenario: A path without a route, once the configuration is proved current again
+  Scenario: A path without a route once the configuration is confirmed current again
     Given a proxy with one endpoint
-    When the proxy's relay falls silent
+    When the proxy's relay stops responding
     And 9.0 seconds pass at the proxy
-    And the proxy's relay speaks again
+    And the proxy's relay responds again
     And 9.0 seconds pass at the proxy
     And a caller asks the proxy for "/returns/1"
     Then the proxy refused call 1 as "no-route"
 
-  Scenario: A path that has a route is served meanwhile
+  Scenario: A path with a route is served while the configuration is stale
     Given a proxy with one endpoint
-    When the proxy's relay falls silent
+    When the proxy's relay stops responding
     And 9.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     And the agent answers the call
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps for calls that may not be repeated, through two proxies."""
+"""Steps for at-most-once calls through two proxies that share their keepers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 
 
-@given("any outcomes, losses and resends through two proxies, no key runs twice")
-def never_twice(context: Context) -> None:
+@given("any outcomes, link losses and resends through two proxies, no key runs twice")
+def no_key_runs_twice(context: Context) -> None:
     actions = st.sampled_from(["place", "answer", "refuse", "fail", "lose", "time", "leave"])
     steps = st.lists(st.tuples(actions, st.integers(0, 1), st.integers(0, 9)), max_size=40)
 
@@ -30,34 +30,34 @@
         keepers = FakeKeepers()
         proxies = [ProxyHarness(3, keepers, seed).start() for seed in (1, 2)]
         not_run = 0
-        for action, at, number in plan:
-            not_run += run_placing_step(proxies[at], action, number)
-        handed_on = sum(len(proxy.handed_on) for proxy in proxies)
-        assert handed_on - not_run <= 1, (handed_on, not_run)
+        for action, proxy_index, number in plan:
+            not_run += perform_step(proxies[proxy_index], action, number)
+        sent = sum(len(proxy.sent_calls) for proxy in proxies)
+        assert sent - not_run <= 1, (sent, not_run)
         for proxy in proxies:
-            proxy.pass_time(5.0)
-            told = [proxy.answers[call] for call in proxy.answers]
-            assert all(len(answers) <= 1 for answers in told)
-            ran = [a for answers in told for a in answers if not isinstance(a, Failure)]
-            assert not ran or handed_on - not_run == 1
+            proxy.advance(5.0)
+            answer_lists = [proxy.answers[call] for call in proxy.answers]
+            assert all(len(answers) <= 1 for answers in answer_lists)
+            ran = [a for answers in answer_lists for a in answers if not isinstance(a, Failure)]
+            assert not ran or sent - not_run == 1
 
     check()
 
 
-def run_placing_step(proxy: ProxyHarness, action: str, number: int) -> int:
-    """Carry out a step; return how many attempts the agent truly did not run."""
+def perform_step(proxy: ProxyHarness, action: str, number: int) -> int:
+    """Perform a random step; return how many attempts the agent did not run."""
     if action == "place":
-        proxy.place("same-key")
+        proxy.place_order("same-key")
     elif action == "time":
-        proxy.pass_time(number / 5)
+        proxy.advance(number / 5)
     elif action == "leave" and proxy.last_call:
         proxy.post(CallerGone(proxy.last_call))
-    elif proxy.open:
-        connection, start = proxy.open[-1]
+    elif proxy.open_attempts:
+        connection, start = proxy.open_attempts[-1]
         if action == "answer":
             proxy.answer(connection, start)
         elif action == "lose":
-            proxy.lose(connection)
+            proxy.close_link(connection)
         elif action == "fail":
             proxy.refuse(connection, start, ErrorKind.BACKEND_FAILED)
         elif action == "refuse":
--- a/features/steps/balancing_steps.py
+++ b/features/steps/balancing_steps.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from proxy_harness import (
     SERVICE,
-    agents,
+    agent_endpoints,
     derandomized,
 )
 
@@ -45,7 +45,7 @@
 
 @given('endpoints with {slots:d} slots in zones "{zones}"')
 def endpoints_in_zones(context: Context, slots: int, zones: str) -> None:
-    endpoints = [agents(1, z, slots, i)[0] for i, z in enumerate(zones.split(", "))]
+    endpoints = [agent_endpoints(1, z, slots, i)[0] for i, z in enumerate(zones.split(", "))]
     context.view = view_of(endpoints)
     context.usable = context.view.usable(SERVICE, 0.0)
     context.balancer = balancer_of()
@@ -108,8 +108,8 @@
 
 @given("a warm endpoint and one that has just appeared")
 def warm_and_cold(context: Context) -> None:
-    context.view = view_of(agents(1, slots=40))
-    context.view.apply(EndpointUpdate(endpoints=agents(1, slots=40, first=1)), 50.0)
+    context.view = view_of(agent_endpoints(1, slots=40))
+    context.view.apply(EndpointUpdate(endpoints=agent_endpoints(1, slots=40, first=1)), 50.0)
 
 
 def share_of_cold(context: Context, now: float) -> float:
@@ -141,7 +141,7 @@
     @hypothesis_settings(derandomized, max_examples=300)
     @examples(st.integers(1, 10), outcomes, st.integers(0, 5))
     def check(count: int, plan: list[tuple[int, int]], seed: int) -> None:
-        usable = view_of(agents(count)).usable(SERVICE, 0.0)
+        usable = view_of(agent_endpoints(count)).usable(SERVICE, 0.0)
         balancer = balancer_of(seed)
         for number, failures in plan:
             key = usable[number % count].key
@@ -159,7 +159,7 @@
 
 @given("an endpoint that reports no load and fails every call")
 def failing_endpoint(context: Context) -> None:
-    context.usable = view_of(agents(4)).usable(SERVICE, 0.0)
+    context.usable = view_of(agent_endpoints(4)).usable(SERVICE, 0.0)
     context.balancer = balancer_of()
 
 
@@ -247,7 +247,7 @@
 
 
 def news_of(incarnation: int, sequence: int, state: int) -> Endpoint:
-    endpoint = agents(1)[0]
+    endpoint = agent_endpoints(1)[0]
     endpoint.incarnation, endpoint.sequence = incarnation, sequence
     endpoint.state = state
     return endpoint
@@ -255,12 +255,12 @@
 
 @given("a view of {count:d} endpoints")
 def view_of_many(context: Context, count: int) -> None:
-    context.view = view_of(agents(count))
+    context.view = view_of(agent_endpoints(count))
 
 
 @when("a full update names {count:d} of them")
 def full_update(context: Context, count: int) -> None:
-    context.view.apply(EndpointUpdate(full=True, endpoints=agents(count)), 5.0)
+    context.view.apply(EndpointUpdate(full=True, endpoints=agent_endpoints(count)), 5.0)
 
 
 @then("the view keeps the others for a grace period")
@@ -303,7 +303,7 @@
 
 @given("two endpoints, one flooded with short calls and one with a few long ones")
 def given_two_mixes(context: Context) -> None:
-    endpoints = [agents(1, "here", 12, number)[0] for number in range(2)]
+    endpoints = [agent_endpoints(1, "here", 12, number)[0] for number in range(2)]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     flooded, other = (entry.key for entry in context.usable)
     balancer = context.balancer = balancer_of()
@@ -338,7 +338,9 @@
     "both idle"
 )
 def given_slow_at_home(context: Context, own: int, other: int) -> None:
-    endpoints = [agents(1, zone, 12, number)[0] for number, zone in enumerate(("here", "there"))]
+    endpoints = [
+        agent_endpoints(1, zone, 12, number)[0] for number, zone in enumerate(("here", "there"))
+    ]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     context.balancer = balancer_of()
     for entry in context.usable:
--- a/features/steps/cpu_wait_monitor.py
+++ b/features/steps/cpu_wait_monitor.py
@@ -1,7 +1,6 @@
-"""Tells which processes of a soak stood still, and whether they waited for a core meanwhile.
+"""Reports which processes of a soak test waited for a CPU, from the scheduler statistics of Linux.
 
-For traces only: nothing is excused by it. Linux counts for each thread how long it ran and how long
-it was ready to run and had no core.
+The output is for diagnosis only; it does not affect the result of the test.
 """
 
 from __future__ import annotations
@@ -15,27 +14,27 @@
 
 from platform_machines import Machine
 
-LOOK_SECONDS = 0.5
-TOLD_SHARE = 0.8
-"""Of a look's span: processes that waited longer are printed."""
+SAMPLE_INTERVAL_SECONDS = 0.5
+REPORTED_WAIT_FRACTION = 0.8
+"""Fraction of a sampling interval; processes that waited for longer are reported."""
 
-TOLD_LATE_SECONDS = 0.5
+REPORTED_DELAY_SECONDS = 0.5
 NANOSECONDS = 1_000_000_000
-IN_THE_KERNEL = "D"
-HARNESS = "the soak itself"
+UNINTERRUPTIBLE = "D"
+TEST_PROCESS = "test process"
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """What the system counts of a process's first thread, in seconds, and its state."""
+class CpuSample:
+    """Run and wait times of a process's first thread, in seconds, and its state."""
 
     ran: float
     waited: float
     state: str
 
     @classmethod
-    def at(cls, process_id: int) -> Look | None:
-        """Return what is counted now; nothing if the process has gone."""
+    def at(cls, process_id: int) -> CpuSample | None:
+        """Return the current sample, or ``None`` if the process has exited."""
         folder = Path(f"/proc/{process_id}")
         try:
             ran, waited, _ = (folder / "schedstat").read_text().split()
@@ -46,46 +45,48 @@
 
 
 class CpuWaitMonitor:
-    """Looks at the machines' processes until it is stopped."""
+    """Samples the processes of all machines until it is stopped."""
 
     def __init__(self, machines: Sequence[Machine]) -> None:
         self._machines = machines
-        self._over = threading.Event()
-        self._last: dict[int, Look] = {}
+        self._stopped = threading.Event()
+        self._last: dict[int, CpuSample] = {}
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
         self._thread.start()
 
     def stop(self) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
 
     def _run(self) -> None:
-        looked_at = time.monotonic()
-        while not self._over.wait(LOOK_SECONDS):
+        sampled_at = time.monotonic()
+        while not self._stopped.wait(SAMPLE_INTERVAL_SECONDS):
             now = time.monotonic()
-            span, looked_at = now - looked_at, now
-            told = (
-                [] if span < LOOK_SECONDS + TOLD_LATE_SECONDS else [f"{span:.2f} s between looks"]
+            span, sampled_at = now - sampled_at, now
+            lines = (
+                []
+                if span < SAMPLE_INTERVAL_SECONDS + REPORTED_DELAY_SECONDS
+                else [f"{span:.2f} s between samples"]
             )
-            told += self._look(span)
-            if told:
-                print(f"{now:10.3f}  cores: {'; '.join(told)}", flush=True)
+            lines += self._sample(span)
+            if lines:
+                print(f"{now:10.3f}  cores: {'; '.join(lines)}", flush=True)
 
-    def _look(self, span: float) -> list[str]:
-        """Return which processes waited most of a span, or stand in the kernel."""
+    def _sample(self, span: float) -> list[str]:
+        """Return a line per process that waited most of ``span`` or is blocked in the kernel."""
         names = {each.process.pid: each.name for each in self._machines if each.running}
-        seen = {pid: Look.at(pid) for pid in (*names, os.getpid())}
-        told = []
-        for pid, look in seen.items():
+        samples = {pid: CpuSample.at(pid) for pid in (*names, os.getpid())}
+        lines = []
+        for pid, sample in samples.items():
             last = self._last.get(pid)
-            if look is None or last is None:
+            if sample is None or last is None:
                 continue
-            waited, name = look.waited - last.waited, names.get(pid, HARNESS)
-            if waited > TOLD_SHARE * span or look.state == IN_THE_KERNEL:
-                told.append(
-                    f"{name} {look.state} ran {look.ran - last.ran:.2f} waited {waited:.2f}"
+            waited, name = sample.waited - last.waited, names.get(pid, TEST_PROCESS)
+            if waited > REPORTED_WAIT_FRACTION * span or sample.state == UNINTERRUPTIBLE:
+                lines.append(
+                    f"{name} {sample.state} ran {sample.ran - last.ran:.2f} waited {waited:.2f}"
                 )
-        self._last = {pid: look for pid, look in seen.items() if look is not None}
-        return told
+        self._last = {pid: sample for pid, sample in samples.items() if sample is not None}
+        return lines
--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the proxy's HTTP edge, on loopback."""
+"""Steps for the proxy's HTTP edge, served on loopback."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def run_edge(context: Context, use: object) -> None:
-    """Serve an edge whose core answers after 0.2 s, and run ``use(edge, url, arrived)``."""
+    """Serve an edge whose calls are answered after 0.2 s and run ``use(edge, url, arrived)``."""
 
     async def main() -> None:
         arrived = trio.Event()
@@ -71,7 +71,7 @@
     run_edge(context, use)
 
 
-@then("a request in flight when the edge stops is answered whole")
+@then("a request in flight when the edge stops is answered completely")
 def answered_at_stop(context: Context) -> None:
     bodies: list[bytes] = []
 
@@ -92,20 +92,20 @@
     assert bodies == [b"whole"]
 
 
-@given("an HTTP edge on loopback that may hold {size:d} bytes of answers")
+@given("an HTTP edge on loopback with a limit of {size:d} unread answer bytes")
 def http_edge_with_bound(context: Context, size: int) -> None:
     http_edge(context)
-    context.held_bytes = size
+    context.unread_limit = size
 
 
-@when("a caller of the edge does not take its answer of {size:d} bytes")
-def caller_takes_nothing(context: Context, size: int) -> None:
-    with mock.patch.object(edge_module, "PENDING_ANSWERS_LIMIT_BYTES", context.held_bytes):
+@when("a caller of the edge does not read its answer of {size:d} bytes")
+def caller_reads_nothing(context: Context, size: int) -> None:
+    with mock.patch.object(edge_module, "PENDING_ANSWERS_LIMIT_BYTES", context.unread_limit):
         context.statuses = trio.run(ask_beside_slow_caller, context.edge_settings, bytes(size))
 
 
 async def ask_beside_slow_caller(settings: EdgeSettings, answer: bytes) -> list[httpcore.Response]:
-    """Return the first refusal beside a caller that reads nothing, and the answer after it left."""
+    """Return the first refusal beside a caller that reads nothing, and an answer after it left."""
 
     def post(event: Event) -> None:
         if isinstance(event, CallArrived):
@@ -138,6 +138,6 @@
     assert int(headers[b"retry-after"]) > 0
 
 
-@then("the edge lets calls in again once that caller has left")
-def check_let_in(context: Context) -> None:
+@then("the edge accepts calls again once that caller has disconnected")
+def check_accepted_again(context: Context) -> None:
     assert context.statuses[1].status == HTTP_OK
--- a/features/steps/mesh_bench.py
+++ b/features/steps/mesh_bench.py
@@ -1,4 +1,4 @@
-"""Shipped proxy and agent cores in virtual time: zones, back ends of a fixed service time."""
+"""Simulates a mesh of proxy and agent cores in virtual time, with zones and simulated back ends."""
 
 from __future__ import annotations
 
@@ -68,21 +68,21 @@
 SERVICE = "orders"
 VERSION = 7
 RELAY = Address("10.0.0.1", 1)
-ONE_WAY = 0.001
-NEWS_DELAY = 6.0
-"""Seconds until the relays' news of a lost zone reaches proxies: a lease has to run out."""
+ONE_WAY_SECONDS = 0.001
+ZONE_LOSS_DELAY_SECONDS = 6.0
+"""Time until proxies learn from the relays that a zone failed: its leases must expire."""
 
-AGENTS_A_ZONE = 2
-PROXIES_A_ZONE = 2
+AGENTS_PER_ZONE = 2
+PROXIES_PER_ZONE = 2
 SLOTS = 4
 SERVICE_SECONDS = 0.1
 TIMEOUT_MS = 2000
-ZONE_CAPACITY = AGENTS_A_ZONE * SLOTS / SERVICE_SECONDS
+ZONE_CAPACITY = AGENTS_PER_ZONE * SLOTS / SERVICE_SECONDS
 
 
 @dataclass
 class CallResult:
-    """One call: when it arrived and ended, and how."""
+    """The result of one call; times in seconds."""
 
     group: str
     arrived: float
@@ -92,7 +92,7 @@
 
 @dataclass
 class Node:
-    """A core and its links: connection to the other node and the connection it has there."""
+    """A core with its links: the peer and its connection number, by the own connection number."""
 
     name: str
     zone: str
@@ -104,14 +104,14 @@
 
 
 class MeshBench:
-    """Two zones with proxies and agents; the bench plays relay, network and back ends."""
+    """Proxies and agents in several zones; simulates the relay, the network and the back ends."""
 
     def __init__(self, weights: Mapping[str, int], zones: Iterable[str] = ("a", "b")) -> None:
         self.now = 0.0
         self.results: list[CallResult] = []
-        self.slow: dict[str, float] = {}
+        self.service_times: dict[str, float] = {}
         self.failing: set[str] = set()
-        self.started: list[tuple[float, str]] = []
+        self.attempt_log: list[tuple[float, str]] = []
         self._weights = weights
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -119,35 +119,35 @@
         self._agents: dict[Address, Node] = {}
         self.proxies: list[Node] = []
         for zone in zones:
-            for number in range(AGENTS_A_ZONE):
+            for number in range(AGENTS_PER_ZONE):
                 self.add_agent(f"agent-{zone}-{number}", zone)
         for zone in zones:
-            for number in range(PROXIES_A_ZONE):
+            for number in range(PROXIES_PER_ZONE):
                 self._add_proxy(f"proxy-{zone}-{number}", zone)
         self.run(1.0)
 
     @property
-    def attempts(self) -> int:
-        """Return the attempts sent to agents."""
-        return len(self.started)
+    def attempt_count(self) -> int:
+        """The number of attempts sent to agents."""
+        return len(self.attempt_log)
 
     @property
-    def starts(self) -> Counter[str]:
-        """Return the attempts sent to each agent."""
-        return Counter(name for _, name in self.started)
+    def attempts_by_agent(self) -> Counter[str]:
+        """The number of attempts sent to each agent."""
+        return Counter(name for _, name in self.attempt_log)
 
-    # --- what tests do ------------------------------------------------------------------------
+    # --- interface for tests --------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
             self.now, _, action = heapq.heappop(self._heap)
             action()
         self.now = end
 
-    def offer(self, rates: Mapping[str, float], seconds: float, zones: Iterable[str]) -> None:
-        """Let calls of groups arrive at random times at the proxies of some zones, in turn."""
+    def offer_load(self, rates: Mapping[str, float], seconds: float, zones: Iterable[str]) -> None:
+        """Schedule Poisson arrivals of calls by group, round-robin over the zones' proxies."""
         proxies = itertools.cycle([p for p in self.proxies if p.zone in set(zones)])
         for group, rate in rates.items():
             source = random.Random(group)
@@ -156,17 +156,17 @@
                 self._at(at, partial(self._arrive, group, next(proxies)))
                 at += source.expovariate(rate)
 
-    def lose_zone(self, zone: str) -> None:
-        """Lose every process of a zone at once; the news of it comes later."""
+    def fail_zone(self, zone: str) -> None:
+        """Fail all processes of a zone; proxies learn of it after ``ZONE_LOSS_DELAY_SECONDS``."""
         lost = [node for node in (*self._agents.values(), *self.proxies) if node.zone == zone]
         for node in lost:
             node.alive = False
             for connection in tuple(node.links):
-                self._cut(node, connection)
-        self._at(self.now + NEWS_DELAY, lambda: self._tell_endpoints(lost))
+                self._close_link(node, connection)
+        self._at(self.now + ZONE_LOSS_DELAY_SECONDS, lambda: self._publish_endpoints(lost))
 
     def add_agent(self, name: str, zone: str) -> None:
-        """Start an agent; the proxies that run hear of it at once."""
+        """Start an agent and announce it to the running proxies."""
         address = Address("10.0.1.1", 100 + len(self._agents))
         options = AgentOptions(
             RegistrationSettings((RELAY,), SERVICE, name, zone, address, SLOTS),
@@ -176,10 +176,10 @@
         node = Node(name, zone, AgentCore(options, 1, random.Random(name)))
         self._agents[address] = node
         self._post(node, Started())
-        self._tell_endpoints([node])
+        self._publish_endpoints([node])
 
     def ended(self, since: float, until: float) -> list[CallResult]:
-        """Return the calls that arrived within a time and have ended."""
+        """Return the ended calls that arrived within a period."""
         return [r for r in self.results if since <= r.arrived < until and r.answer is not None]
 
     # --- nodes --------------------------------------------------------------------------------
@@ -197,7 +197,7 @@
     def _at(self, time: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._heap, (time, next(self._order), action))
 
-    def _later(self, node: Node, event: Event, delay: float = 0.0) -> None:
+    def _post_later(self, node: Node, event: Event, delay: float = 0.0) -> None:
         self._at(self.now + delay, lambda: self._post(node, event))
 
     def _post(self, node: Node, event: Event) -> None:
@@ -222,9 +222,9 @@
             case SendMessage(connection, message):
                 self._send(node, connection, message)
             case CloseConnection(connection):
-                self._cut(node, connection)
+                self._close_link(node, connection)
             case ReplaceFile(token=token):
-                self._later(node, WriteCompleted(token))
+                self._post_later(node, WriteCompleted(token))
             case StartAttempt(attempt=attempt):
                 self._begin(node, attempt)
             case CancelAttempt(attempt):
@@ -238,12 +238,12 @@
     def _dial(self, node: Node, output: OpenConnection) -> None:
         if output.purpose is not Purpose.CALLS:
             peer = Peer(Role.RELAY, "relay", node.zone, output.purpose)
-            self._later(node, ConnectionOpened(output.connection, peer), ONE_WAY)
+            self._post_later(node, ConnectionOpened(output.connection, peer), ONE_WAY_SECONDS)
             return
         agent = self._agents[output.address]
         if not agent.alive:
             failure = Failure(ErrorKind.CONNECTION_FAILED, "refused")
-            self._later(node, ConnectionFailed(output.connection, failure), ONE_WAY)
+            self._post_later(node, ConnectionFailed(output.connection, failure), ONE_WAY_SECONDS)
             return
         agent.last_accepted += 2
         accepted = agent.last_accepted
@@ -251,32 +251,32 @@
         agent.links[accepted] = (node, output.connection)
         caller = Peer(Role.PROXY, node.name, node.zone, Purpose.CALLS)
         called = Peer(Role.AGENT, agent.name, agent.zone, Purpose.CALLS, incarnation=1)
-        self._later(agent, ConnectionOpened(accepted, caller), ONE_WAY)
-        self._later(node, ConnectionOpened(output.connection, called), 2 * ONE_WAY)
+        self._post_later(agent, ConnectionOpened(accepted, caller), ONE_WAY_SECONDS)
+        self._post_later(node, ConnectionOpened(output.connection, called), 2 * ONE_WAY_SECONDS)
 
     def _send(self, node: Node, connection: int, message: object) -> None:
         link = node.links.get(connection)
         if link is None:
-            self._answer_as_relay(node, connection, message)
+            self._reply_as_relay(node, connection, message)
             return
-        other, there = link
+        peer, remote = link
         if isinstance(message, CallStart):
-            self.started.append((self.now, other.name))
-        self._later(other, MessageReceived(there, message), ONE_WAY)  # type: ignore[arg-type]
+            self.attempt_log.append((self.now, peer.name))
+        self._post_later(peer, MessageReceived(remote, message), ONE_WAY_SECONDS)  # type: ignore[arg-type]
 
-    def _cut(self, node: Node, connection: int) -> None:
+    def _close_link(self, node: Node, connection: int) -> None:
         link = node.links.pop(connection, None)
         if link is not None:
-            other, there = link
-            other.links.pop(there, None)
-            self._later(other, ConnectionClosed(there, "reset"), ONE_WAY)
-        self._later(node, ConnectionClosed(connection, "closed"))
+            peer, remote = link
+            peer.links.pop(remote, None)
+            self._post_later(peer, ConnectionClosed(remote, "reset"), ONE_WAY_SECONDS)
+        self._post_later(node, ConnectionClosed(connection, "closed"))
 
     # --- relay --------------------------------------------------------------------------------
 
-    def _answer_as_relay(self, node: Node, connection: int, message: object) -> None:
+    def _reply_as_relay(self, node: Node, connection: int, message: object) -> None:
         def answer(reply: object) -> None:
-            self._later(node, MessageReceived(connection, reply), ONE_WAY)  # type: ignore[arg-type]
+            self._post_later(node, MessageReceived(connection, reply), ONE_WAY_SECONDS)  # type: ignore[arg-type]
 
         match message:
             case Subscribe():
@@ -320,11 +320,11 @@
             if node.name in addresses
         ]
 
-    def _tell_endpoints(self, nodes: list[Node]) -> None:
+    def _publish_endpoints(self, nodes: list[Node]) -> None:
         update = EndpointUpdate(endpoints=self._endpoints(nodes))
         for proxy in self.proxies:
             subscription = 2
-            self._later(proxy, MessageReceived(subscription, update), ONE_WAY)
+            self._post_later(proxy, MessageReceived(subscription, update), ONE_WAY_SECONDS)
 
     # --- callers and back ends ----------------------------------------------------------------
 
@@ -335,9 +335,9 @@
 
     def _begin(self, node: Node, attempt: int) -> None:
         if node.name in self.failing:
-            self._later(node, AttemptAnswered(attempt, 500, (), b"broken"), ONE_WAY)
+            self._post_later(node, AttemptAnswered(attempt, 500, (), b"broken"), ONE_WAY_SECONDS)
             return
-        seconds = self.slow.get(node.name, SERVICE_SECONDS)
+        seconds = self.service_times.get(node.name, SERVICE_SECONDS)
         self._at(self.now + seconds, lambda: self._finish(node, attempt))
 
     def _finish(self, node: Node, attempt: int) -> None:
@@ -347,4 +347,4 @@
     def _cancel(self, node: Node, attempt: int) -> None:
         self._cancelled.add((node.name, attempt))
         failure = Failure(ErrorKind.CANCELLED, "cancelled")
-        self._later(node, AttemptFailed(attempt, failure, sent_any_byte=True))
+        self._post_later(node, AttemptFailed(attempt, failure, sent_any_byte=True))
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -45,7 +45,7 @@
     "for {seconds:d} seconds"
 )
 def offer(context: Context, rate: int, zones: str, seconds: int) -> None:
-    context.mesh.offer(dict.fromkeys(context.groups, rate), seconds, zones)
+    context.mesh.offer_load(dict.fromkeys(context.groups, rate), seconds, zones)
     context.mesh.run(seconds)
     context.offered_until = context.mesh.now
 
@@ -57,7 +57,7 @@
 def offer_two(
     context: Context, first: str, rate: int, second: str, other: int, seconds: int
 ) -> None:
-    context.mesh.offer({first: rate, second: other}, seconds, "ab")
+    context.mesh.offer_load({first: rate, second: other}, seconds, "ab")
     context.mesh.run(seconds)
     context.offered_until = context.mesh.now
 
@@ -65,7 +65,7 @@
 @when("the mesh bench loses zone {zone:S}")
 def lose_zone(context: Context, zone: str) -> None:
     context.lost_at = context.mesh.now
-    context.mesh.lose_zone(zone)
+    context.mesh.fail_zone(zone)
 
 
 @when("a cold agent joins zone {zone:S} of the mesh bench")
@@ -76,7 +76,7 @@
 
 @when("an agent of zone a of the mesh bench becomes {factor:d} times slower")
 def slow_down(context: Context, factor: int) -> None:
-    context.mesh.slow[SLOW] = factor * SERVICE_SECONDS
+    context.mesh.service_times[SLOW] = factor * SERVICE_SECONDS
 
 
 @when("an agent of zone a of the mesh bench fails every call at once")
@@ -137,7 +137,7 @@
 @then("the mesh bench made no more attempts than {percent:d} percent of its calls")
 def check_attempts(context: Context, percent: int) -> None:
     calls = len(context.mesh.results)
-    assert context.mesh.attempts * 100 <= percent * calls, (context.mesh.attempts, calls)
+    assert context.mesh.attempt_count * 100 <= percent * calls, (context.mesh.attempt_count, calls)
 
 
 @then("every call of group {group:S} is answered by the mesh bench")
@@ -154,14 +154,14 @@
 
 @then("zone {zone:S} of the mesh bench got between {low:d} and {high:d} percent of the calls")
 def check_spill(context: Context, zone: str, low: int, high: int) -> None:
-    starts = context.mesh.starts
+    starts = context.mesh.attempts_by_agent
     there = sum(count for name, count in starts.items() if name.startswith(f"agent-{zone}-"))
     assert low * starts.total() <= 100 * there <= high * starts.total(), starts
 
 
 def part_of_cold(context: Context, since: float, until: float) -> float:
     """The cold agent's part of the attempts in zone a within a time."""
-    started = [name for at, name in context.mesh.started if since <= at < until]
+    started = [name for at, name in context.mesh.attempt_log if since <= at < until]
     in_zone = [name for name in started if name.startswith("agent-a-")]
     return in_zone.count(COLD) / len(in_zone)
 
@@ -180,5 +180,5 @@
 
 @then("the slow agent of the mesh bench got less than {percent:d} percent of the calls")
 def check_slow(context: Context, percent: int) -> None:
-    starts = context.mesh.starts
+    starts = context.mesh.attempts_by_agent
     assert starts[SLOW] * 100 < percent * starts.total(), starts
--- a/features/steps/proxy_harness.py
+++ b/features/steps/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A proxy core under virtual time, with relay, keepers and agents played by the test."""
+"""Test harness for a proxy core in virtual time, with simulated relay, keepers and agents."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 @dataclass
 class FakeKeepers:
-    """One keeper that stands for the majority; shared by several proxies."""
+    """A single in-memory keeper that stands in for a majority; can be shared by proxies."""
 
     claims: dict[bytes, Claim] = field(default_factory=dict)
     answers: dict[bytes, RecordedAnswer] = field(default_factory=dict)
@@ -152,7 +152,7 @@
 
 
 class ProxyHarness:
-    """Runs a proxy core under virtual time; relay and keepers answer at once, agents on demand."""
+    """Runs a proxy core in virtual time; relay and keepers reply at once, agents on request."""
 
     def __init__(
         self,
@@ -166,16 +166,16 @@
         self.accepts_links = True
         self.relay_answers = True
         self.keepers_confirm = True
-        self.silent_ports: set[int] = set()
-        self.hanging: list[OpenConnection] = []
+        self.unresponsive_ports: set[int] = set()
+        self.hanging_dials: list[OpenConnection] = []
         self.keepers = keepers or FakeKeepers()
         self.answers: dict[int, list[CallAnswer | Failure]] = {}
-        self.handed_on: list[tuple[int, CallStart]] = []
-        self.open: list[tuple[int, CallStart]] = []
+        self.sent_calls: list[tuple[int, CallStart]] = []
+        self.open_attempts: list[tuple[int, CallStart]] = []
         self.links: dict[int, OpenConnection] = {}
         self.cancels = 0
         self.cancels_unless_begun = 0
-        self.credit = 0
+        self.granted_credit_bytes = 0
         self.crash_news: list[CrashNews] = []
         self.resources = mesh_resources()
         self.uploaded = bytearray()
@@ -206,7 +206,7 @@
         self.post(CallArrived(self.last_call, request))
         return self.last_call
 
-    def place(self, key: str) -> int:
+    def place_order(self, key: str) -> int:
         return self.ask("/place/1", "POST", idempotency_key=key.encode())
 
     def answer(self, connection: int, start: CallStart, body: bytes | None = None) -> None:
@@ -230,27 +230,29 @@
         )
 
     def reply(self, connection: int, message: ResponseStart | CallFailed) -> None:
-        self.open = [(c, s) for c, s in self.open if (c, s.stream) != (connection, message.stream)]
+        self.open_attempts = [
+            (c, s) for c, s in self.open_attempts if (c, s.stream) != (connection, message.stream)
+        ]
         self.post(MessageReceived(connection, message))
 
-    def lose(self, connection: int) -> None:
-        self.open = [(at, start) for at, start in self.open if at != connection]
+    def close_link(self, connection: int) -> None:
+        self.open_attempts = [(at, start) for at, start in self.open_attempts if at != connection]
         self.links.pop(connection, None)
         self.post(ConnectionClosed(connection, "lost"))
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         end = self.now + seconds
         while (deadline := self.core.next_deadline()) is not None and deadline <= end:
             self.now = max(self.now, deadline)
             self.post(DeadlineReached())
         self.now = end
 
-    def final(self, call: int) -> CallAnswer | Failure:
+    def final_answer(self, call: int) -> CallAnswer | Failure:
         assert len(self.answers[call]) == 1, self.answers[call]
         return self.answers[call][0]
 
     def refusal(self, call: int) -> Failure:
-        final = self.final(call)
+        final = self.final_answer(call)
         assert isinstance(final, Failure), final
         return final
 
@@ -272,12 +274,12 @@
 
     def _dial(self, output: OpenConnection) -> None:
         if output.purpose is Purpose.CALLS and not self._answers_dial(output.address):
-            self.hanging.append(output)
+            self.hanging_dials.append(output)
             return
         self.accept(output)
 
     def _answers_dial(self, address: Address) -> bool:
-        return self.accepts_links and address.port not in self.silent_ports
+        return self.accepts_links and address.port not in self.unresponsive_ports
 
     def accept(self, output: OpenConnection) -> None:
         self.links[output.connection] = output
@@ -300,14 +302,14 @@
                 resources = self.resources
                 digest = SetDigest.of(resources).to_bytes()
                 answer(ConfigSnapshot(version=VERSION, resources=resources, digest=digest))
-                answer(EndpointUpdate(full=True, endpoints=agents(self.endpoints)))
+                answer(EndpointUpdate(full=True, endpoints=agent_endpoints(self.endpoints)))
             case FreshnessProbe(nonce=nonce):
                 answer(FreshnessAnswer(nonce=nonce, version=VERSION))
             case Claim() | Release() | Complete():
                 answer(self.keepers.reply(message))
             case CallStart():
-                self.handed_on.append((connection, message))
-                self.open.append((connection, message))
+                self.sent_calls.append((connection, message))
+                self.open_attempts.append((connection, message))
                 self.uploaded += message.body
             case CallBody(data=data):
                 self.uploaded += data
@@ -315,16 +317,18 @@
                 self.cancels += not unless_begun
                 self.cancels_unless_begun += unless_begun
             case CallCredit(bytes=size):
-                self.credit += size
+                self.granted_credit_bytes += size
             case _:
-                self._note(message)
+                self._record_crash_news(message)
 
-    def _note(self, message: object) -> None:
+    def _record_crash_news(self, message: object) -> None:
         if isinstance(message, CrashNews):
             self.crash_news.append(message)
 
 
-def agents(count: int, zone: str = "here", slots: int = 6, first: int = 0) -> list[Endpoint]:
+def agent_endpoints(
+    count: int, zone: str = "here", slots: int = 6, first: int = 0
+) -> list[Endpoint]:
     return [
         Endpoint(
             service=SERVICE,
--- a/features/steps/proxy_metrics_steps.py
+++ b/features/steps/proxy_metrics_steps.py
@@ -12,7 +12,7 @@
 OK = CallAnswer(200, (), b"")
 
 
-def count(route: str, outcome: str) -> float:
+def observed_calls(route: str, outcome: str) -> float:
     labels = {"route": route, "outcome": outcome}
     return REGISTRY.get_sample_value("limelever_proxy_call_seconds_count", labels) or 0.0
 
@@ -27,16 +27,16 @@
 def then_counted(context, bound):
     labels = {"route": "metrics-a", "outcome": "answered", "le": bound}
     assert REGISTRY.get_sample_value("limelever_proxy_call_seconds_bucket", labels) == 1.0
-    assert count("metrics-a", "not-run") == 1.0
+    assert observed_calls("metrics-a", "not-run") == 1.0
 
 
-@when("calls on {number:d} more routes than have a series are answered")
+@when("calls on {number:d} routes more than the series limit are answered")
 def when_many(context, number):
-    context.before = count(OTHER_ROUTES, "answered")
+    context.before = observed_calls(OTHER_ROUTES, "answered")
     for route in range(MAX_ROUTE_SERIES + number):
         count_answer(AnswerCall(route, OK, f"metrics-route-{route}", 0.1))
 
 
 @then("at least {number:d} of them are counted under other routes")
 def then_others(context, number):
-    assert count(OTHER_ROUTES, "answered") - context.before >= number
+    assert observed_calls(OTHER_ROUTES, "answered") - context.before >= number
--- a/features/steps/proxy_quarantine_steps.py
+++ b/features/steps/proxy_quarantine_steps.py
@@ -69,7 +69,7 @@
 @when("the back end of the call ends as crash {crash:d}")
 def back_end_ends(context: Context, crash: int) -> None:
     host: ProxyHarness = context.proxy
-    connection, start = host.open[-1]
+    connection, start = host.open_attempts[-1]
     failed = CallFailed(
         stream=start.stream,
         attempt_id=start.attempt_id,
@@ -103,7 +103,7 @@
 
 @then("the call that is open tells its agent of {depth:d} ends in a row")
 def tells_depth(context: Context, depth: int) -> None:
-    _, start = context.proxy.open[-1]
+    _, start = context.proxy.open_attempts[-1]
     assert start.known_depth == depth, start
 
 
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the request path of a proxy."""
+"""Steps for the request path of a proxy's core."""
 
 from __future__ import annotations
 
@@ -71,52 +71,52 @@
 @given("a proxy with 2 endpoints, the first of which answers no dial")
 def proxy_with_hanging_dial(context: Context) -> None:
     context.proxy = ProxyHarness(2)
-    context.proxy.silent_ports = {FIRST_AGENT_PORT}
+    context.proxy.unresponsive_ports = {FIRST_AGENT_PORT}
     context.proxy.start()
 
 
 @when("callers ask until one call waits for the first endpoint's link")
 def ask_until_one_waits(context: Context) -> None:
-    while not context.proxy.hanging:
+    while not context.proxy.hanging_dials:
         context.proxy.ask("/orders/1")
 
 
-@when("{count:d} callers ask at that moment")
+@when("{count:d} further callers ask")
 def many_ask(context: Context, count: int) -> None:
-    context.handed_on_before = len(context.proxy.handed_on)
+    context.sent_before = len(context.proxy.sent_calls)
     for _ in range(count):
         context.proxy.ask("/orders/1")
 
 
-@then("all {count:d} of those calls were handed on at once")
+@then("all {count:d} of those calls were sent to agents at once")
 def all_handed_on(context: Context, count: int) -> None:
-    handed_on = len(context.proxy.handed_on) - context.handed_on_before
-    assert handed_on == count, handed_on
+    sent = len(context.proxy.sent_calls) - context.sent_before
+    assert sent == count, sent
 
 
-@then("every call was handed on")
+@then("every call was sent to an agent")
 def every_call_handed_on(context: Context) -> None:
-    assert len(context.proxy.handed_on) == context.proxy.last_call, context.proxy.handed_on
+    assert len(context.proxy.sent_calls) == context.proxy.last_call, context.proxy.sent_calls
 
 
-@when("the agent's link comes up")
+@when("the agent accepts the link")
 def link_comes_up(context: Context) -> None:
-    (dial,) = context.proxy.hanging
+    (dial,) = context.proxy.hanging_dials
     context.proxy.accept(dial)
     context.proxy.post(DeadlineReached())
 
 
 @given("a proxy with {count:d} endpoints and retries for every call")
 def proxy_with_retries(context: Context, count: int) -> None:
-    """Earn the budget of one retry a route with ten answered calls."""
+    """Fill the retry budget of each route to one retry, with ten answered calls."""
     proxy = context.proxy = ProxyHarness(count).start()
     for number in range(10):
         proxy.ask("/baskets/0")
-        proxy.place(f"earn-{number}")
-        for start in tuple(proxy.open):
+        proxy.place_order(f"earn-{number}")
+        for start in tuple(proxy.open_attempts):
             proxy.answer(*start)
     proxy.last_call = 0
-    proxy.handed_on.clear()
+    proxy.sent_calls.clear()
 
 
 @when('a caller asks the proxy for "{target}"')
@@ -136,33 +136,33 @@
 
 @when("a caller places an order without a key")
 def caller_places_without_key(context: Context) -> None:
-    context.proxy.place("")
+    context.proxy.place_order("")
 
 
 @when('a caller places an order with key "{key}"')
 def caller_places(context: Context, key: str) -> None:
-    context.proxy.place(key)
+    context.proxy.place_order(key)
 
 
-@when("the caller of call {call:d} leaves")
+@when("the caller of call {call:d} disconnects")
 def caller_leaves(context: Context, call: int) -> None:
     context.proxy.post(CallerGone(call))
 
 
 @when("{seconds:f} seconds pass at the proxy")
 def time_passes(context: Context, seconds: float) -> None:
-    context.proxy.pass_time(seconds)
+    context.proxy.advance(seconds)
 
 
 @when("the agent answers the call")
 def agent_answers(context: Context) -> None:
-    context.proxy.answer(*context.proxy.open[-1])
+    context.proxy.answer(*context.proxy.open_attempts[-1])
 
 
-@when("the agent answers with parts of {first:d}, {second:d} and {third:d} bytes and one more")
+@when("the agent answers with chunks of {first:d}, {second:d} and {third:d} bytes and a last one")
 def agent_answers_in_parts(context: Context, first: int, second: int, third: int) -> None:
     proxy = context.proxy
-    connection, start = proxy.open[-1]
+    connection, start = proxy.open_attempts[-1]
     head = ResponseStart(stream=start.stream, attempt_id=start.attempt_id, status=200)
     head.body = bytes(first)
     rest = [ResponseBody(stream=start.stream, data=bytes(size)) for size in (second, third)]
@@ -173,17 +173,17 @@
 
 @then("the proxy gave the agent credit for {size:d} bytes")
 def proxy_gave_credit(context: Context, size: int) -> None:
-    assert context.proxy.credit == size, context.proxy.credit
+    assert context.proxy.granted_credit_bytes == size, context.proxy.granted_credit_bytes
 
 
 @then("call {call:d} got an answer of {size:d} bytes")
 def answered_with_bytes(context: Context, call: int, size: int) -> None:
-    assert len(context.proxy.final(call).body) == size
+    assert len(context.proxy.final_answer(call).body) == size
 
 
 @when("the agent answers the call with status {status:d}")
 def agent_answers_with(context: Context, status: int) -> None:
-    connection, start = context.proxy.open[-1]
+    connection, start = context.proxy.open_attempts[-1]
     answer = ResponseStart(
         stream=start.stream, attempt_id=start.attempt_id, status=status, end=True
     )
@@ -192,21 +192,21 @@
 
 @then("call {call:d} got an answer with status {status:d}")
 def answered_with(context: Context, call: int, status: int) -> None:
-    assert context.proxy.final(call).status == status
+    assert context.proxy.final_answer(call).status == status
 
 
 @when('the agent refuses the call as "{kind}"')
 def agent_refuses(context: Context, kind: str) -> None:
-    context.proxy.refuse(*context.proxy.open[-1], ErrorKind(kind))
+    context.proxy.refuse(*context.proxy.open_attempts[-1], ErrorKind(kind))
 
 
 @when("the agent's link is lost")
 def agent_link_lost(context: Context) -> None:
-    context.proxy.lose(context.proxy.open[-1][0])
+    context.proxy.close_link(context.proxy.open_attempts[-1][0])
 
 
-@then("the callers were told to come back after {first:g}, {second:g} and {third:g} seconds")
-def check_times_told(context: Context, first: float, second: float, third: float) -> None:
+@then("the callers got retry times of {first:g}, {second:g} and {third:g} seconds")
+def check_retry_times(context: Context, first: float, second: float, third: float) -> None:
     answers = [context.proxy.refusal(number) for number in (1, 2, 3)]
     assert [round(each.retry_after, 6) for each in answers] == [first, second, third], answers
 
@@ -222,21 +222,21 @@
     assert context.proxy.refusal(call).kind.value == kind
 
 
-@then('the caller of call {call:d} was told "{kind}" and outcome "{outcome}"')
+@then('call {call:d} failed as "{kind}" with outcome "{outcome}"')
 def refused_with_outcome(context: Context, call: int, kind: str, outcome: str) -> None:
     refusal = context.proxy.refusal(call)
     assert (refusal.kind.value, refusal.outcome.value) == (kind, outcome), refusal
 
 
-@then('the handed on call carries header "{name}" only as "{value}"')
+@then('the sent call carries header "{name}" only as "{value}"')
 def carries_header(context: Context, name: str, value: str) -> None:
-    headers = context.proxy.handed_on[-1][1].headers
+    headers = context.proxy.sent_calls[-1][1].headers
     assert [h.value for h in headers if h.name == name.encode()] == [value.encode()]
 
 
-@then('the handed on call does not carry header "{name}"')
+@then('the sent call does not carry header "{name}"')
 def lacks_header(context: Context, name: str) -> None:
-    assert name.encode() not in [h.name for h in context.proxy.handed_on[-1][1].headers]
+    assert name.encode() not in [h.name for h in context.proxy.sent_calls[-1][1].headers]
 
 
 @when("a caller uploads {size:d} bytes")
@@ -251,7 +251,7 @@
 
 @when("the agent gives credit for {size:d} bytes")
 def agent_gives_credit(context: Context, size: int) -> None:
-    connection, start = context.proxy.open[-1]
+    connection, start = context.proxy.open_attempts[-1]
     context.proxy.post(MessageReceived(connection, CallCredit(stream=start.stream, bytes=size)))
 
 
@@ -267,34 +267,34 @@
 
 @then("call {call:d} got the answer of its agent")
 def got_answer(context: Context, call: int) -> None:
-    final = context.proxy.final(call)
+    final = context.proxy.final_answer(call)
     assert isinstance(final, CallAnswer) and final.status == 200, final
 
 
 @then("call {second:d} got the same answer as call {first:d}")
 def got_same_answer(context: Context, second: int, first: int) -> None:
-    finals = [context.proxy.final(call) for call in (first, second)]
+    finals = [context.proxy.final_answer(call) for call in (first, second)]
     assert finals[0].body == finals[1].body and finals[0].status == finals[1].status
 
 
-@then("{count:d} call was handed on")
-@then("{count:d} calls were handed on")
+@then("{count:d} call was sent to an agent")
+@then("{count:d} calls were sent to agents")
 def handed_on_count(context: Context, count: int) -> None:
-    assert len(context.proxy.handed_on) == count
+    assert len(context.proxy.sent_calls) == count
 
 
-@then("the leaving agent gets no further call")
+@then("the draining agent gets no further call")
 def leaving_gets_none(context: Context) -> None:
     proxy = context.proxy
-    leaving = proxy.handed_on[0][0]
+    draining = proxy.sent_calls[0][0]
     for _ in range(20):
         proxy.ask("/baskets/2")
-        assert proxy.open[-1][0] != leaving
-        proxy.answer(*proxy.open[-1])
+        assert proxy.open_attempts[-1][0] != draining
+        proxy.answer(*proxy.open_attempts[-1])
 
 
 @given("any routes and paths, the proxy's table agrees with a search through all prefixes")
-def closest_prefix(context: Context) -> None:
+def check_longest_prefix(context: Context) -> None:
     path = st.lists(st.sampled_from(["a", "b", "aa"]), max_size=4).map(lambda p: "/" + "/".join(p))
     prefixes = st.sets(st.builds(lambda p, end: p + end, path, st.sampled_from(["", "/"])))
 
@@ -319,8 +319,8 @@
     check()
 
 
-@given("any order of true, late and crossed answers, every caller gets its own answer")
-def crossed_answers(context: Context) -> None:
+@given("any order of valid, late and mismatched answers, every caller gets its own answer")
+def mismatched_answers(context: Context) -> None:
     steps = st.lists(st.tuples(st.sampled_from("atcsoxl"), st.integers(0, 30)), max_size=40)
 
     @derandomized
@@ -329,55 +329,57 @@
         proxy = ProxyHarness(3).start()
         targets: dict[int, bytes] = {}
         for action, number in plan:
-            run_crossing_step(proxy, targets, action, number)
-        proxy.pass_time(3.0)
+            perform_step(proxy, targets, action, number)
+        proxy.advance(3.0)
         for call, target in targets.items():
-            final = proxy.final(call)
+            final = proxy.final_answer(call)
             assert isinstance(final, Failure) or final.body == target, (target, final)
 
     check()
 
 
-def run_crossing_step(
-    proxy: ProxyHarness, targets: dict[int, bytes], action: str, number: int
-) -> None:
+def perform_step(proxy: ProxyHarness, targets: dict[int, bytes], action: str, number: int) -> None:
     if action == "a":
         target = f"/baskets/{len(targets)}"
         targets[proxy.ask(target)] = target.encode()
     elif action == "t":
-        proxy.pass_time(number / 20)
-    elif proxy.handed_on:
-        connection, start = proxy.handed_on[number % len(proxy.handed_on)]
-        other = proxy.handed_on[(number + 1) % len(proxy.handed_on)][1]
-        crossed = CallStart(stream=start.stream, attempt_id=other.attempt_id, target=other.target)
+        proxy.advance(number / 20)
+    elif proxy.sent_calls:
+        connection, start = proxy.sent_calls[number % len(proxy.sent_calls)]
+        other = proxy.sent_calls[(number + 1) % len(proxy.sent_calls)][1]
+        mismatched = CallStart(
+            stream=start.stream, attempt_id=other.attempt_id, target=other.target
+        )
         match action:
-            case "c" if crossed.attempt_id != start.attempt_id:
-                proxy.post(MessageReceived(connection, crossed_answer(crossed)))
+            case "c" if mismatched.attempt_id != start.attempt_id:
+                proxy.post(MessageReceived(connection, mismatched_answer(mismatched)))
             case "s":
                 proxy.answer(connection, start)
             case "x":
                 late_body = ResponseBody(stream=start.stream, data=b"late", end=True)
                 proxy.post(MessageReceived(connection, late_body))
-            case "o" if proxy.open:
-                answer_truly(proxy, targets, *proxy.open[number % len(proxy.open)])
+            case "o" if proxy.open_attempts:
+                answer_current_attempt(
+                    proxy, targets, *proxy.open_attempts[number % len(proxy.open_attempts)]
+                )
             case "l" if connection in proxy.links:
-                proxy.lose(connection)
+                proxy.close_link(connection)
 
 
-def answer_truly(
+def answer_current_attempt(
     proxy: ProxyHarness, targets: dict[int, bytes], connection: int, start: CallStart
 ) -> None:
-    """Answer an attempt in flight: a call not yet answered gets exactly this answer."""
+    """Answer an open attempt and check that its call, if unanswered, gets this answer."""
     waiting = [
         c for c, target in targets.items() if target == start.target and not proxy.answers[c]
     ]
     proxy.answer(connection, start)
     for call in waiting:
-        final = proxy.final(call)
+        final = proxy.final_answer(call)
         assert isinstance(final, CallAnswer) and final.body == start.target
 
 
-def crossed_answer(start: CallStart) -> ResponseStart:
+def mismatched_answer(start: CallStart) -> ResponseStart:
     return ResponseStart(
         stream=start.stream, attempt_id=start.attempt_id, status=200, body=b"crossed", end=True
     )
@@ -392,7 +394,7 @@
 
 
 @given("any number of calls to overloaded agents, retries stay within the budget")
-def overload(context: Context) -> None:
+def check_retries_under_overload(context: Context) -> None:
     @derandomized
     @examples(st.integers(1, 120), st.integers(1, 5), st.booleans())
     def check(calls: int, endpoints: int, unknown: bool) -> None:
@@ -400,9 +402,9 @@
         kind = ErrorKind.BACKEND_FAILED if unknown else ErrorKind.OVERLOADED
         for _ in range(calls):
             proxy.ask("/baskets/1")
-            while proxy.open:
-                proxy.refuse(*proxy.open[-1], kind)
-        assert len(proxy.handed_on) - calls <= calls * 10 // 100
+            while proxy.open_attempts:
+                proxy.refuse(*proxy.open_attempts[-1], kind)
+        assert len(proxy.sent_calls) - calls <= calls * 10 // 100
 
     check()
 
--- a/features/steps/proxy_stop_steps.py
+++ b/features/steps/proxy_stop_steps.py
@@ -18,8 +18,8 @@
     context.proxy.post(StopLimitNear())
 
 
-@when("the keepers confirm no record")
-def keepers_confirm_none(context: Context) -> None:
+@when("the keepers confirm no recorded answer")
+def keepers_confirm_nothing(context: Context) -> None:
     context.proxy.keepers_confirm = False
 
 
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -1,4 +1,4 @@
-"""Steps for routes by host, splits, and calls that run once a sending."""
+"""Steps for routes by host, traffic splits, call kinds and retry budgets."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     return build_route_table(configuration([split], services), 1).match(b"GET", b"/")
 
 
-@given("any weights and any run of calls, each part is within one call of its weight")
+@given("any weights and calls, each destination deviates by at most one call per destination")
 def given_any_weights(context):
     weights = st.lists(st.integers(1, 100), min_size=2, max_size=5)
 
@@ -118,14 +118,14 @@
             splits.choose(split_entry([90, 10]))
 
 
-@then("an unchanged table goes on with its round")
-def then_goes_on(context):
+@then("an unchanged table continues the round")
+def then_round_continues(context):
     again = split_entry([90, 10])
     expected = [context.reference.choose(again).service for _ in range(20)]
     assert [context.splits.choose(again).service for _ in range(20)] == expected
 
 
-@then("a table with other weights begins another")
+@then("a table with other weights starts a new round")
 def then_new_round(context):
     entry = split_entry([50, 50])
     taken = [context.splits.choose(entry).service for _ in range(20)]
@@ -133,7 +133,7 @@
 
 
 class Proxy:
-    """A proxy core with agents that answer what the test says."""
+    """A proxy core with agents that answer as the test demands."""
 
     def __init__(self, retry, agents=3, call_kind=CALL_KIND_ONCE_PER_ATTEMPT):
         self.core = ProxyCore(
@@ -170,13 +170,13 @@
     def call(self, body=b""):
         self.number += 1
         request = CallRequest(method=b"POST", target=b"/", headers=(), body=body, timeout=5.0)
-        self.feed(CallArrived(self.number, request))
+        self.post(CallArrived(self.number, request))
 
-    def feed(self, event):
+    def post(self, event):
         for output in self.core.handle(event, 0.0):
             if isinstance(output, OpenConnection):
                 peer = Peer(Role.AGENT, "agent", "", Purpose.CALLS, incarnation=1)
-                self.feed(ConnectionOpened(output.connection, peer))
+                self.post(ConnectionOpened(output.connection, peer))
             elif isinstance(output, SendMessage) and isinstance(output.message, CallStart):
                 self.starts.append(output)
             elif isinstance(output, AnswerCall):
@@ -188,12 +188,12 @@
             stream=sent.message.stream,
             attempt_id=sent.message.attempt_id,
             kind=kind.value,
-            reason="as the test says",
+            reason="refused by the test",
         )
-        self.feed(MessageReceived(sent.connection, failed))
+        self.post(MessageReceived(sent.connection, failed))
 
 
-@given("a proxy with a route for calls that run once a sending")
+@given("a proxy with a route whose calls run once per attempt")
 def given_once(context):
     context.proxy = Proxy(RetrySettings(fleet_saved=30))
     for _ in range(30):
@@ -206,7 +206,7 @@
     context.proxy.fail_last(ErrorKind(kind))
 
 
-@then("the call goes to another agent")
+@then("the call is retried at another agent")
 def then_another(context):
     first, second = (start.connection for start in context.proxy.starts)
     assert first != second
@@ -220,7 +220,7 @@
     assert answer.answer.kind is ErrorKind(kind), answer
 
 
-@given("a proxy with {percent:d} percent of second choices and no retries saved")
+@given("a proxy with {percent:d} percent of second choices and no saved retries")
 def given_second_choices(context, percent):
     retry = RetrySettings(second_choice_percent=percent)
     context.proxy = Proxy(retry, agents=6, call_kind=CALL_KIND_REPEATABLE)
@@ -245,14 +245,14 @@
         context.proxy.fail_last(ErrorKind.DEADLINE_TOO_SHORT)
 
 
-@then("it was tried at {count:d} endpoints, each another one, and no byte of its body was sent")
+@then("it was tried at {count:d} distinct endpoints without sending any of its body")
 def then_tried_at(context, count):
     starts = context.proxy.starts
     assert len({start.connection for start in starts}) == len(starts) == count, starts
     assert not any(start.message.body for start in starts)
 
 
-@then("at most {most:d} of them were tried twice and none thrice")
+@then("at most {most:d} of them were tried twice and none more often")
 def then_second_choices(context, most):
     assert max(context.tries) == 2, context.tries
     assert 40 <= context.tries.count(2) <= most, context.tries.count(2)
--- a/features/steps/route_table_steps.py
+++ b/features/steps/route_table_steps.py
@@ -1,4 +1,4 @@
-"""Steps for route tables that keep the entries of routes that did not change."""
+"""Steps for incremental updates of route tables."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     )
 
 
-def changed_by(kind, number, drawn_value):
+def resource_of(kind, number, drawn_value):
     if kind == "route":
         return versioned(route=route(number, drawn_value))
     if kind == "service":
@@ -66,58 +66,57 @@
     return versioned(secret=Secret(name="key", header="x-key", value=b"%d" % drawn_value))
 
 
-def first_set():
-    resources = [changed_by("service", n, 0) for n in range(2)]
-    resources += [changed_by("secret", 0, 0), *(changed_by("route", n, n) for n in range(4))]
+def initial_configuration():
+    resources = [resource_of("service", n, 0) for n in range(2)]
+    resources += [resource_of("secret", 0, 0), *(resource_of("route", n, n) for n in range(4))]
     return EMPTY_CONFIGURATION.changed((), resources)
 
 
-def change_of(kind, number, drawn_value):
-    """Return what a change puts and what it removes."""
+def put_and_removed(kind, number, drawn_value):
+    """Return the resources that a change puts and the keys that it removes."""
     if kind == "remove":
         return [], [Key.of(versioned(route=route(number, 0)).resource)]
     if kind == "remove tenant":
-        return [], [Key.of(changed_by("tenant", number, 0).resource)]
-    return [changed_by(kind, number, drawn_value)], []
+        return [], [Key.of(resource_of("tenant", number, 0).resource)]
+    return [resource_of(kind, number, drawn_value)], []
 
 
-def advanced(table, configuration: ConfigurationSet, version, *change):
-    put, removed = change_of(*change)
+def updated(table, configuration: ConfigurationSet, version, *change):
+    put, removed = put_and_removed(*change)
     later = configuration.changed(removed, put)
     return later, update_route_table(table, later, version, put, removed)
 
 
 @given(
-    "any changes of routes, services, secrets and tenants, a table built over the former equals "
-    "one built anew"
+    "any changes of routes, services, secrets and tenants, an updated table equals a rebuilt one"
 )
 def given_any_changes(context):
     @settings(max_examples=200, deadline=None)
     @drawn(CHANGES)
     def check(changes):
-        configuration = first_set()
+        configuration = initial_configuration()
         table = build_route_table(configuration, 1)
         for change in changes:
-            configuration, table = advanced(table, configuration, 1, *change)
-            anew = build_route_table(configuration, 1)
-            assert table.hosts == anew.hosts
-            assert table.route_names() == anew.route_names()
-            assert table.services() == anew.services()
-            assert table.secret_names == anew.secret_names
-            assert table.weights == anew.weights
-            assert table.routes == anew.routes
-            assert table.tenants == anew.tenants
-            assert table.ranks == anew.ranks
+            configuration, table = updated(table, configuration, 1, *change)
+            rebuilt = build_route_table(configuration, 1)
+            assert table.hosts == rebuilt.hosts
+            assert table.route_names() == rebuilt.route_names()
+            assert table.services() == rebuilt.services()
+            assert table.secret_names == rebuilt.secret_names
+            assert table.weights == rebuilt.weights
+            assert table.routes == rebuilt.routes
+            assert table.tenants == rebuilt.tenants
+            assert table.ranks == rebuilt.ranks
 
     check()
 
 
 @given("a route that did not change keeps its entry")
 def given_kept(context):
-    configuration = first_set()
+    configuration = initial_configuration()
     table = build_route_table(configuration, 1)
-    former = table.hosts
-    _, later = advanced(table, configuration, 2, "route", 1, 3)
-    assert table.hosts == former == build_route_table(configuration, 1).hosts
+    hosts_before = table.hosts
+    _, later = updated(table, configuration, 2, "route", 1, 3)
+    assert table.hosts == hosts_before == build_route_table(configuration, 1).hosts
     assert later.routes["r0"].entry is table.routes["r0"].entry
     assert later.routes["r1"].entry != table.routes["r1"].entry
--- a/features/steps/stale_configuration_steps.py
+++ b/features/steps/stale_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a proxy whose configuration is no longer proved current."""
+"""Steps for a proxy whose configuration is no longer confirmed current."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from limelever.proxy.settings import ConfigurationSettings, EdgeSettings, ProxySettings
 
 
-@when("the proxy's relay falls silent")
-def relay_falls_silent(context: Context) -> None:
+@when("the proxy's relay stops responding")
+def relay_stops_responding(context: Context) -> None:
     context.proxy.relay_answers = False
 
 
-@when("the proxy's relay speaks again")
-def relay_speaks_again(context: Context) -> None:
+@when("the proxy's relay responds again")
+def relay_responds_again(context: Context) -> None:
     context.proxy.relay_answers = True
 
 
@@ -34,7 +34,7 @@
     )
 
 
-@then("its core tells of a missing route by a proof of at most {seconds:f} seconds")
+@then("its core reports missing routes up to {seconds:f} seconds after the last freshness proof")
 def check_core_settings(context: Context, seconds: float) -> None:
     settings = core_settings(context.settings)
     assert settings.calls.admission.stale_after == seconds, settings.calls.admission
--- a/features/steps/transfer_size_steps.py
+++ b/features/steps/transfer_size_steps.py
@@ -1,4 +1,4 @@
-"""Steps for how long calls wait for their own zone, by the bytes they move."""
+"""Steps for how long calls may wait for their own zone, by the bytes they transfer."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @given("a route with 1 second to its target whose answers have {answer:S} bytes")
 def given_route(context, answer):
-    context.moved = TransferSizes()
+    context.sizes = TransferSizes()
     if answer != "no":
         for _ in range(20):
-            context.moved.observe(ROUTE, int(answer))
+            context.sizes.observe(ROUTE, int(answer))
 
 
 @when("the configuration no longer holds that route")
 def when_gone(context):
-    context.moved.keep_only(frozenset({"another"}))
+    context.sizes.keep_only(frozenset({"another"}))
 
 
 @then("a call on it with a body of {body:d} bytes may wait {milliseconds:d} ms for its own zone")
@@ -32,14 +32,14 @@
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
         target_at=NOW + 1.0,
     )
-    found = context.moved.local_wait_limit(call, NOW)
+    found = context.sizes.local_wait_limit(call, NOW)
     assert round(found * 1000) == milliseconds, found
 
 
 @then("a call on it with a body of {body:d} bytes is {kind:w}")
-def then_kind(context, body, kind):
+def then_size_class(context, body, kind):
     call = SimpleNamespace(
         request=SimpleNamespace(body=bytes(body)),
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
     )
-    assert context.moved.is_small(call) is (kind == "light")
+    assert context.sizes.is_small(call) is (kind == "light")
--- a/features/steps/uneven_instances_steps.py
+++ b/features/steps/uneven_instances_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import given as examples
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from proxy_harness import agents
+from proxy_harness import agent_endpoints
 
 from limelever.agent.interface import AttemptAnswered
 from limelever.agent.load_header import pace_in
@@ -61,7 +61,7 @@
     "two like endpoints of the zone, of which the first says that it takes {factor:g} times as long"
 )
 def given_two(context: Context, factor: float) -> None:
-    endpoints = [agents(1, "here", 12, number)[0] for number in range(2)]
+    endpoints = [agent_endpoints(1, "here", 12, number)[0] for number in range(2)]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     context.balancer, context.now = balancer_of(), NOW
     for entry in context.usable:
--- a/features/transport/metrics.feature
+++ b/features/transport/metrics.feature
@@ -31,5 +31,5 @@
     Then the histogram of route metrics-a holds one answered call below 0.25 s and one not run
 
   Scenario: However many routes there are, the number of series is bounded
-    When calls on 10 more routes than have a series are answered
+    When calls on 10 routes more than the series limit are answered
     Then at least 10 of them are counted under other routes
