--- a/src/limelever/proxy/call_log.py
+++ b/src/limelever/proxy/call_log.py
@@ -29,13 +29,13 @@
         request: CallRequest,
         failure: Failure,
         version: int,
-        proved_at: float | None,
+        confirmed_at: float | None,
         now: float,
     ) -> None:
         """Log a call that was rejected at admission.
 
-        ``version`` is that of the route table, 0 for none; ``proved_at`` is when the table was last
-        confirmed current, ``None`` for never.
+        ``version`` is that of the route table, 0 for none; ``confirmed_at`` is when the table was
+        last confirmed current, ``None`` for never.
         """
         fields: dict[str, object] = {
             "route": "",
@@ -46,8 +46,8 @@
             "milliseconds": 0,
         }
         fields.update(_tenant_field(failure))
-        if proved_at is not None:
-            fields["configuration_age_milliseconds"] = _milliseconds(now - proved_at)
+        if confirmed_at is not None:
+            fields["configuration_age_milliseconds"] = _milliseconds(now - confirmed_at)
         lines = self._log.failure(events.CALL_FAILED, request.request_id, fields, now)
         self._outputs.extend(lines)
 
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -190,9 +190,9 @@
             if call.phase is Phase.COMPLETING:
                 self._completion_ended(call, False, now)
                 continue
-            handed_on = call.phase in (Phase.HANDED_ON, Phase.CANCELLING)
+            sent = call.phase in (Phase.HANDED_ON, Phase.CANCELLING)
             self._attempts.let_go(call, now)
-            self._fail(call, _STOPPED_BEFORE_ANSWER if handed_on else STOPPING, now)
+            self._fail(call, _STOPPED_BEFORE_ANSWER if sent else STOPPING, now)
 
     def cancel_quarantined_calls(self, now: float) -> None:
         """End the calls of quarantined requests that no back end has started."""
