--- a/features/steps/agent_backend_steps.py
+++ b/features/steps/agent_backend_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the agent's client of the back end, on loopback."""
+"""Steps for the agent's HTTP client of the back end, on loopback."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from behave import then, when
 from behave.runner import Context
 
-from limelever.agent.backend import Backend
+from limelever.agent.backend_client import BackendClient
 from limelever.agent.interface import (
     AttemptAnswered,
     StartAttempt,
@@ -39,7 +39,7 @@
 
 
 async def attempt_at(target: str, clock: trio.testing.MockClock) -> Event:
-    """Make an attempt; it is cancelled, or its time is up, once the request has arrived."""
+    """Make an attempt; cancel it or let it time out once the request has arrived."""
     received: list[Event] = []
     arrived, ended = trio.Event(), trio.Event()
 
@@ -56,7 +56,9 @@
             serve = partial(serve_one, arrived)
             nursery.start_soon(trio.serve_listeners, serve, [listener])
         address = Address("127.0.0.1", port)
-        backend = Backend(BackendSettings(address=address, max_response_bytes=1024), nursery, post)
+        backend = BackendClient(
+            BackendSettings(address=address, max_response_bytes=1024), nursery, post
+        )
         timeout = 30.0
         backend.start(StartAttempt(1, "orders", b"GET", target.encode(), (), b"", timeout))
         if target in ("/cancelled", "/slow"):
@@ -89,8 +91,8 @@
 
 
 @dataclass
-class KeepingServer:
-    """Answers requests without bodies, some on each connection; counts connections."""
+class KeepAliveServer:
+    """Answers up to ``requests_each`` requests per connection; counts connections."""
 
     requests_each: int
     connections: int = 0
@@ -105,23 +107,23 @@
         await stream.aclose()
 
 
-async def ask_repeatedly(server: KeepingServer, count: int, at_once: int, allowed: int) -> int:
+async def send_repeatedly(server: KeepAliveServer, count: int, at_once: int, limit: int) -> int:
     answers = 0
-    room = trio.Semaphore(at_once)
+    free = trio.Semaphore(at_once)
 
     def post(event: Event) -> None:
         nonlocal answers
         assert isinstance(event, AttemptAnswered), event
         answers += 1
-        room.release()
+        free.release()
 
     async with trio.open_nursery() as nursery:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = Address("127.0.0.1", listener.socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, server.serve, [listener])
-        backend = Backend(BackendSettings(address=address, connections=allowed), nursery, post)
+        backend = BackendClient(BackendSettings(address=address, connections=limit), nursery, post)
         for number in range(count):
-            await room.acquire()
+            await free.acquire()
             await trio.sleep(0.02 if at_once == 1 else 0.0)
             backend.start(StartAttempt(number, "orders", b"GET", b"/ok", (), b"", 10.0))
         while answers < count:
@@ -131,22 +133,24 @@
     return answers
 
 
-@when("{count:d} attempts in turn meet a back end that keeps its connections")
-def ask_keeping(context: Context, count: int) -> None:
-    context.server = KeepingServer(requests_each=100)
-    context.answers = trio.run(ask_repeatedly, context.server, count, 1, 10)
+@when("{count:d} attempts in turn are sent to a back end that keeps connections open")
+def send_with_keep_alive(context: Context, count: int) -> None:
+    context.server = KeepAliveServer(requests_each=100)
+    context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
-@when("{count:d} attempts in turn meet a back end that closes after each answer")
-def ask_closing(context: Context, count: int) -> None:
-    context.server = KeepingServer(requests_each=1)
-    context.answers = trio.run(ask_repeatedly, context.server, count, 1, 10)
+@when("{count:d} attempts in turn are sent to a back end that closes after each answer")
+def send_with_close(context: Context, count: int) -> None:
+    context.server = KeepAliveServer(requests_each=1)
+    context.answers = trio.run(send_repeatedly, context.server, count, 1, 10)
 
 
-@when("{count:d} attempts at once meet a back end, and the agent may open {allowed:d} connections")
-def ask_at_once(context: Context, count: int, allowed: int) -> None:
-    context.server = KeepingServer(requests_each=100)
-    context.answers = trio.run(ask_repeatedly, context.server, count, count, allowed)
+@when(
+    "{count:d} attempts at once are sent to a back end by an agent limited to {limit:d} connections"
+)
+def send_concurrently(context: Context, count: int, limit: int) -> None:
+    context.server = KeepAliveServer(requests_each=100)
+    context.answers = trio.run(send_repeatedly, context.server, count, count, limit)
 
 
 @then("the agent's client was answered {count:d} times over {connections:d} connection")
@@ -155,8 +159,8 @@
     assert (context.answers, context.server.connections) == (count, connections)
 
 
-async def ask_behind(held: int, patience: int, heard: list[bytes]) -> None:
-    """Hold the one connection for some seconds of the clock while a second attempt waits for it."""
+async def send_behind(held: int, timeout: int, requests: list[bytes]) -> None:
+    """Hold the only connection for ``held`` seconds while a second attempt waits for it."""
     clock = trio.lowlevel.current_clock()
     assert isinstance(clock, trio.testing.MockClock)
     arrived, answer = trio.Event(), trio.Event()
@@ -164,7 +168,7 @@
 
     async def serve(stream: trio.SocketStream) -> None:
         for _ in range(2):
-            heard.append(await stream.receive_some(65536))
+            requests.append(await stream.receive_some(65536))
             arrived.set()
             await answer.wait()
             await stream.send_all(ANSWERS[b"/ok"])
@@ -174,9 +178,9 @@
         address = Address("127.0.0.1", listener.socket.getsockname()[1])
         nursery.start_soon(trio.serve_listeners, serve, [listener])
         settings = BackendSettings(address=address, connections=1)
-        backend = Backend(settings, nursery, lambda event: both_ended.release())
+        backend = BackendClient(settings, nursery, lambda event: both_ended.release())
         for number in range(2):
-            attempt = StartAttempt(number, "orders", b"GET", b"/ok", (), b"", float(patience))
+            attempt = StartAttempt(number, "orders", b"GET", b"/ok", (), b"", float(timeout))
             backend.start(attempt)
         await arrived.wait()
         clock.jump(held)
@@ -187,15 +191,15 @@
         nursery.cancel_scope.cancel()
 
 
-@when("an attempt whose caller waits {patience:d} seconds gets its connection after {held:d}")
-def ask_after_waiting(context: Context, patience: int, held: int) -> None:
-    context.heard = []
+@when("an attempt whose caller waits {timeout:d} seconds gets its connection after {held:d}")
+def send_after_waiting(context: Context, timeout: int, held: int) -> None:
+    context.requests = []
     clock = trio.testing.MockClock()
-    trio.run(ask_behind, held, patience, context.heard, clock=clock)
+    trio.run(send_behind, held, timeout, context.requests, clock=clock)
 
 
 @then("the agent's client told the back end that {left:d} ms are left")
 def check_time_left(context: Context, left: int) -> None:
-    lines = context.heard[-1].lower().split(b"\r\n")
-    told = [line for line in lines if line.startswith(b"x-limelever-timeout-ms")]
-    assert told == [b"x-limelever-timeout-ms: %d" % left], told
+    lines = context.requests[-1].lower().split(b"\r\n")
+    sent = [line for line in lines if line.startswith(b"x-limelever-timeout-ms")]
+    assert sent == [b"x-limelever-timeout-ms: %d" % left], sent
