--- a/features/proxy/at_most_once.feature
+++ b/features/proxy/at_most_once.feature
@@ -14,7 +14,7 @@
     And 1 call was sent to an agent
 
   Scenario: An attempt with an unknown outcome is not retried
-    Given a proxy with 2 endpoints and retries for every call
+    Given a proxy with 2 endpoints and retries left in its budget
     When a caller places an order with key "k1"
     And the agent's link is lost
     Then call 1 failed as "connection-lost" with outcome "unknown"
--- a/features/proxy/balancing.feature
+++ b/features/proxy/balancing.feature
@@ -53,9 +53,9 @@
   Scenario: Groups are bounded by their share when the proxy is nearly full
     Given any calls of three groups, the bounds hold and a group under its share finds room
 
-  Scenario Outline: The more bytes a call moves, the longer it may wait for its own zone
+  Scenario Outline: The more bytes a call transfers, the longer it may take in its own zone
     Given a route with 1 second to its target whose answers have <answer> bytes
-    Then a call on it with a body of <body> bytes may wait <milliseconds> ms for its own zone
+    Then a call on it with a body of <body> bytes may take <milliseconds> ms in its own zone
 
     Examples:
       | answer | body  | milliseconds |
@@ -68,7 +68,7 @@
   Scenario: What is known of a route is forgotten with it
     Given a route with 1 second to its target whose answers have 400 bytes
     When the configuration no longer holds that route
-    Then a call on it with a body of 0 bytes may wait 700 ms for its own zone
+    Then a call on it with a body of 0 bytes may take 700 ms in its own zone
 
   Scenario: Endpoints are compared by how long calls of the same route take there
     Given two endpoints, one flooded with short calls and one with a few long ones
@@ -89,13 +89,13 @@
       | 235   | light  | to its zone |
       | 120   | usual  | to its zone |
 
-  Scenario Outline: Calls are light by what they move
+  Scenario Outline: Calls are small by the bytes they transfer
     Given a route with 1 second to its target whose answers have <answer> bytes
     Then a call on it with a body of <body> bytes is <kind>
 
     Examples:
-      | answer | body  | kind  |
-      | 1500   | 300   | light |
-      | 5000   | 0     | usual |
-      | 400    | 60000 | usual |
+      | answer | body  | kind   |
+      | 1500   | 300   | small  |
+      | 5000   | 0     | larger |
+      | 400    | 60000 | larger |
       | no     | 0     | usual |
--- a/features/proxy/quarantine.feature
+++ b/features/proxy/quarantine.feature
@@ -14,7 +14,7 @@
     Then 2 calls were sent to agents
 
   Scenario: A second try serves whoever merely shared the back end, a third would cost another
-    Given a proxy with 3 endpoints and retries for every call
+    Given a proxy with 3 endpoints and retries left in its budget
     When a caller asks the proxy for "/orders/1"
     And the back end of the call ends as crash 1
     Then 2 calls were sent to agents
@@ -96,7 +96,7 @@
     Then 2 calls were sent to agents
 
   Scenario: A try that ends another back end lasts twice as long, without a second try
-    Given a proxy with 3 endpoints and retries for every call
+    Given a proxy with 3 endpoints and retries left in its budget
     When the relay tells the proxy of 3 crashes under "/orders/1"
     And 240.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
--- a/features/proxy/request_path.feature
+++ b/features/proxy/request_path.feature
@@ -98,7 +98,7 @@
     Then 2 calls were sent to agents
 
   Scenario: An error status from a back end is passed on, not retried
-    Given a proxy with 2 endpoints and retries for every call
+    Given a proxy with 2 endpoints and retries left in its budget
     When a caller asks the proxy for "/baskets/1"
     And the agent answers the call with status 503
     Then call 1 got an answer with status 503
@@ -114,7 +114,7 @@
     Then any failure that the proxy renders has a Retry-After if its kind advises a delay
 
   Scenario: A call with an attempt that may have run is never answered as not run
-    Given a proxy with 2 endpoints and retries for every call
+    Given a proxy with 2 endpoints and retries left in its budget
     When a caller asks the proxy for "/baskets/1"
     And the agent's link is lost
     And the agent refuses the call as "overloaded"
@@ -174,7 +174,7 @@
     And the proxy has finished stopping
 
   Scenario: Near the stop limit, calls that no back end has started are answered as not run
-    Given a proxy with 2 endpoints and retries for every call
+    Given a proxy with 2 endpoints and retries left in its budget
     When a caller asks the proxy for "/baskets/1"
     And the proxy is asked to stop
     And the proxy's stop limit is near
@@ -210,7 +210,7 @@
     And 0 calls were sent to agents
 
   Scenario: At the stop limit, a call without a reply from its agent is answered as unknown
-    Given a proxy with 2 endpoints and retries for every call
+    Given a proxy with 2 endpoints and retries left in its budget
     When a caller asks the proxy for "/baskets/1"
     And the proxy is asked to stop
     And the proxy's stop limit is near
--- a/features/proxy/routes.feature
+++ b/features/proxy/routes.feature
@@ -8,8 +8,8 @@
     And "/shop/7" at "three.example" takes the route "any-shop"
     And "/shop/7" at "two.example" takes no route
 
-  Scenario: A split follows its weights over every window of calls
-    Given any weights and calls, each destination deviates by at most one call per destination
+  Scenario: A split follows its weights over any number of calls
+    Given any weights and calls, N destinations each take their share to within N calls
 
   Scenario: A changed split starts a new round, an unchanged one continues
     Given a split of 90 and 10 that has taken 5 calls
@@ -31,17 +31,17 @@
       | outcome-unknown   | ends as backend-failed         |
 
   Scenario: The second choice after an agent's refusal has its own budget and is used once per call
-    Given a proxy with 50 percent of second choices and no saved retries
+    Given a proxy whose second-choice budget is 50 percent of its calls
     When 100 calls are refused by every agent they reach
     Then at most 70 of them were tried twice and none more often
 
   Scenario: An upload without body credit tries up to four endpoints outside the budget
-    Given a proxy with 50 percent of second choices and no saved retries
+    Given a proxy whose second-choice budget is 50 percent of its calls
     When an upload of 20000 bytes is refused by every agent it reaches
     Then it was tried at 4 distinct endpoints without sending any of its body
 
   Scenario: Saved retries are divided by the number of proxies
-    Given retry budgets with 38 saved retries for the fleet
+    Given retry budgets that save up to 38 retries for the fleet
     When the fleet has 12 nodes
     Then 3 retries can be taken at once and no more
 
--- a/features/steps/balancing_steps.py
+++ b/features/steps/balancing_steps.py
@@ -29,7 +29,7 @@
 from limelever.proxy.endpoints import UNLISTED_GRACE, EndpointView
 from limelever.proxy.group_limits import GroupLimits, LimitSettings, ShareKey
 from limelever.proxy.health import HealthSettings, Verdict
-from limelever.proxy.transfer_size import MEDIUM_WAIT_FRACTION, SMALL_WAIT_FRACTION
+from limelever.proxy.transfer_size import MEDIUM_TIME_FRACTION, SMALL_TIME_FRACTION
 
 
 def view_of(endpoints: list[Endpoint], now: float = 0.0) -> EndpointView:
@@ -350,7 +350,7 @@
 
 @then("a {kind:w} call with {target:d} ms to its target goes {where}")
 def then_goes(context: Context, kind: str, target: int, where: str) -> None:
-    within = target / 1000 * (SMALL_WAIT_FRACTION if kind == "light" else MEDIUM_WAIT_FRACTION)
+    within = target / 1000 * (SMALL_TIME_FRACTION if kind == "light" else MEDIUM_TIME_FRACTION)
     balancer = context.balancer
     picked = balancer.pick(context.usable, 1.0, local_within=within, light=kind == "light")
     assert (picked.zone == "here") is (where == "to its zone"), picked
--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -93,7 +93,7 @@
 
 
 @given("an HTTP edge on loopback with a limit of {size:d} unread answer bytes")
-def http_edge_with_bound(context: Context, size: int) -> None:
+def http_edge_with_unread_limit(context: Context, size: int) -> None:
     http_edge(context)
     context.unread_limit = size
 
@@ -101,11 +101,11 @@
 @when("a caller of the edge does not read its answer of {size:d} bytes")
 def caller_reads_nothing(context: Context, size: int) -> None:
     with mock.patch.object(edge_module, "PENDING_ANSWERS_LIMIT_BYTES", context.unread_limit):
-        context.statuses = trio.run(ask_beside_slow_caller, context.edge_settings, bytes(size))
+        context.responses = trio.run(ask_beside_slow_caller, context.edge_settings, bytes(size))
 
 
 async def ask_beside_slow_caller(settings: EdgeSettings, answer: bytes) -> list[httpcore.Response]:
-    """Return the first refusal beside a caller that reads nothing, and an answer after it left."""
+    """Return the first refusal while a caller reads nothing, and the answer once it has closed."""
 
     def post(event: Event) -> None:
         if isinstance(event, CallArrived):
@@ -133,11 +133,11 @@
 
 @then("the edge refuses further calls with 503, NOT RUN and a Retry-After")
 def check_refused(context: Context) -> None:
-    headers = dict(context.statuses[0].headers)
+    headers = dict(context.responses[0].headers)
     assert headers[b"x-limelever-outcome"] == Outcome.NOT_RUN.value.encode()
     assert int(headers[b"retry-after"]) > 0
 
 
 @then("the edge accepts calls again once that caller has disconnected")
 def check_accepted_again(context: Context) -> None:
-    assert context.statuses[1].status == HTTP_OK
+    assert context.responses[1].status == HTTP_OK
--- a/features/steps/kept_soak.py
+++ b/features/steps/kept_soak.py
@@ -86,7 +86,7 @@
         return [
             *self.audit.broken,
             *self.changes.broken,
-            *self.questions.broken,
+            *self.questions.violations,
             *self.strikes.broken,
             *self.strikes.readiness.broken,
             *self._faults(),
@@ -144,7 +144,7 @@
             f"requests: {dict(self.audit.counts.most_common())}",
             f"{changes.changes} changes, {changes.races} of them of two at once; "
             f"the longest took {changes.longest_seconds:.1f} s; {changes.reads} reads",
-            f"{self.questions.judged} direct requests judged",
+            f"{self.questions.checked} direct requests judged",
             f"{readiness.ready} of {readiness.asked} nodes ready 4 s after SIGTERM",
             f"{len(self._faults())} faults logged",
             f"longest stop {self.strikes.longest_stop_seconds:.1f} s",
--- a/features/steps/mesh_bench.py
+++ b/features/steps/mesh_bench.py
@@ -323,8 +323,8 @@
     def _publish_endpoints(self, nodes: list[Node]) -> None:
         update = EndpointUpdate(endpoints=self._endpoints(nodes))
         for proxy in self.proxies:
-            subscription = 2
-            self._post_later(proxy, MessageReceived(subscription, update), ONE_WAY_SECONDS)
+            relay_connection = 2
+            self._post_later(proxy, MessageReceived(relay_connection, update), ONE_WAY_SECONDS)
 
     # --- callers and back ends ----------------------------------------------------------------
 
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -62,7 +62,7 @@
 
 
 @given("a proxy with one endpoint whose agent accepts no link")
-def proxy_with_silent_agent(context: Context) -> None:
+def proxy_without_link(context: Context) -> None:
     context.proxy = ProxyHarness()
     context.proxy.accepts_links = False
     context.proxy.start()
@@ -89,26 +89,26 @@
 
 
 @then("all {count:d} of those calls were sent to agents at once")
-def all_handed_on(context: Context, count: int) -> None:
+def all_sent(context: Context, count: int) -> None:
     sent = len(context.proxy.sent_calls) - context.sent_before
     assert sent == count, sent
 
 
 @then("every call was sent to an agent")
-def every_call_handed_on(context: Context) -> None:
+def every_call_sent(context: Context) -> None:
     assert len(context.proxy.sent_calls) == context.proxy.last_call, context.proxy.sent_calls
 
 
 @when("the agent accepts the link")
-def link_comes_up(context: Context) -> None:
+def agent_accepts_link(context: Context) -> None:
     (dial,) = context.proxy.hanging_dials
     context.proxy.accept(dial)
     context.proxy.post(DeadlineReached())
 
 
-@given("a proxy with {count:d} endpoints and retries for every call")
+@given("a proxy with {count:d} endpoints and retries left in its budget")
 def proxy_with_retries(context: Context, count: int) -> None:
-    """Fill the retry budget of each route to one retry, with ten answered calls."""
+    """Fill the service's retry budget to two retries, with twenty answered calls."""
     proxy = context.proxy = ProxyHarness(count).start()
     for number in range(10):
         proxy.ask("/baskets/0")
@@ -145,7 +145,7 @@
 
 
 @when("the caller of call {call:d} disconnects")
-def caller_leaves(context: Context, call: int) -> None:
+def caller_disconnects(context: Context, call: int) -> None:
     context.proxy.post(CallerGone(call))
 
 
@@ -160,7 +160,7 @@
 
 
 @when("the agent answers with chunks of {first:d}, {second:d} and {third:d} bytes and a last one")
-def agent_answers_in_parts(context: Context, first: int, second: int, third: int) -> None:
+def agent_answers_in_chunks(context: Context, first: int, second: int, third: int) -> None:
     proxy = context.proxy
     connection, start = proxy.open_attempts[-1]
     head = ResponseStart(stream=start.stream, attempt_id=start.attempt_id, status=200)
@@ -279,12 +279,12 @@
 
 @then("{count:d} call was sent to an agent")
 @then("{count:d} calls were sent to agents")
-def handed_on_count(context: Context, count: int) -> None:
+def sent_count(context: Context, count: int) -> None:
     assert len(context.proxy.sent_calls) == count
 
 
 @then("the draining agent gets no further call")
-def leaving_gets_none(context: Context) -> None:
+def draining_gets_none(context: Context) -> None:
     proxy = context.proxy
     draining = proxy.sent_calls[0][0]
     for _ in range(20):
@@ -339,6 +339,12 @@
 
 
 def perform_step(proxy: ProxyHarness, targets: dict[int, bytes], action: str, number: int) -> None:
+    """Perform a random step.
+
+    "a" starts a call, "t" advances time, "c" answers with another attempt's identifier, "s" answers
+    any attempt sent so far, "x" sends a late body chunk, "o" answers an open attempt and "l" loses
+    a link.
+    """
     if action == "a":
         target = f"/baskets/{len(targets)}"
         targets[proxy.ask(target)] = target.encode()
--- a/features/steps/route_prober.py
+++ b/features/steps/route_prober.py
@@ -13,6 +13,8 @@
 from strike_log import StrikeLog
 
 DISTURBANCE_SECONDS = 3.0
+"""How long after a fault a node's answers are not checked."""
+
 CONTROL_DISRUPTED_EXTRA_SECONDS = 5.0
 """Extra time allowed for a change while a control machine is disrupted."""
 
@@ -30,8 +32,8 @@
         self._nodes, self._changes, self._strikes = nodes, changes, strikes
         self._random = random.Random(f"questions-{seed}")
         self._count = itertools.count(1)
-        self.broken: list[str] = []
-        self.judged = 0
+        self.violations: list[str] = []
+        self.checked = 0
 
     def start(self) -> None:
         self._stopped = threading.Event()
@@ -61,7 +63,7 @@
             or route in self._changes.news().drop_sent_at
         ):
             return
-        self.judged += 1
+        self.checked += 1
         if status == HTTP_NOT_FOUND:
             self._record_violation(node, route, "added", started_at, status)
 
@@ -77,7 +79,7 @@
         status = self._status(node, route)
         if not self._was_undisturbed(node, started_at) and route != rejected:
             return
-        self.judged += 1
+        self.checked += 1
         if status == OK:
             self._record_violation(node, route, "removed or rejected", started_at, status)
 
@@ -107,7 +109,7 @@
     ) -> None:
         news = self._changes.news()
         times = {**news.lost_at, **news.taken_at, **news.dropped_at}
-        self.broken.append(
+        self.violations.append(
             f"{node.name} answered {status} for {route}, {what} "
             f"{started_at - times[route]:.3f} s before, at {started_at:.3f}"
         )
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -92,7 +92,7 @@
     return build_route_table(configuration([split], services), 1).match(b"GET", b"/")
 
 
-@given("any weights and calls, each destination deviates by at most one call per destination")
+@given("any weights and calls, N destinations each take their share to within N calls")
 def given_any_weights(context):
     weights = st.lists(st.integers(1, 100), min_size=2, max_size=5)
 
@@ -220,7 +220,7 @@
     assert answer.answer.kind is ErrorKind(kind), answer
 
 
-@given("a proxy with {percent:d} percent of second choices and no saved retries")
+@given("a proxy whose second-choice budget is {percent:d} percent of its calls")
 def given_second_choices(context, percent):
     retry = RetrySettings(second_choice_percent=percent)
     context.proxy = Proxy(retry, agents=6, call_kind=CALL_KIND_REPEATABLE)
@@ -258,7 +258,7 @@
     assert 40 <= context.tries.count(2) <= most, context.tries.count(2)
 
 
-@given("retry budgets with {saved:d} saved retries for the fleet")
+@given("retry budgets that save up to {saved:d} retries for the fleet")
 def given_budgets(context, saved):
     context.budgets = RetryBudgets(saved)
 
--- a/features/steps/route_table_steps.py
+++ b/features/steps/route_table_steps.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from behave import given
-from hypothesis import given as drawn
+from hypothesis import given as examples
 from hypothesis import settings
 from hypothesis import strategies as st
 
@@ -92,7 +92,7 @@
 )
 def given_any_changes(context):
     @settings(max_examples=200, deadline=None)
-    @drawn(CHANGES)
+    @examples(CHANGES)
     def check(changes):
         configuration = initial_configuration()
         table = build_route_table(configuration, 1)
--- a/features/steps/transfer_size_steps.py
+++ b/features/steps/transfer_size_steps.py
@@ -1,4 +1,4 @@
-"""Steps for how long calls may wait for their own zone, by the bytes they transfer."""
+"""Steps for how long calls may take in their own zone, by the bytes they transfer."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     context.sizes.keep_only(frozenset({"another"}))
 
 
-@then("a call on it with a body of {body:d} bytes may wait {milliseconds:d} ms for its own zone")
-def then_may_wait(context, body, milliseconds):
+@then("a call on it with a body of {body:d} bytes may take {milliseconds:d} ms in its own zone")
+def then_may_take(context, body, milliseconds):
     call = SimpleNamespace(
         request=SimpleNamespace(body=bytes(body)),
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
         target_at=NOW + 1.0,
     )
-    found = context.sizes.local_wait_limit(call, NOW)
+    found = context.sizes.local_time_limit(call, NOW)
     assert round(found * 1000) == milliseconds, found
 
 
@@ -42,4 +42,4 @@
         request=SimpleNamespace(body=bytes(body)),
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
     )
-    assert context.sizes.is_small(call) is (kind == "light")
+    assert context.sizes.is_small(call) is (kind == "small")
--- a/src/limelever/proxy/attempts.py
+++ b/src/limelever/proxy/attempts.py
@@ -121,7 +121,7 @@
         self, call: Call, usable: Sequence[EndpointEntry], now: float
     ) -> EndpointEntry | None:
         """Return an endpoint not tried yet; one whose dial is overdue only if there is no other."""
-        local_within = self._moved.local_wait_limit(call, now)
+        local_within = self._moved.local_time_limit(call, now)
         light = self._moved.is_small(call)
         excluded: set[EndpointKey] = set(call.tried)
         overdue: EndpointEntry | None = None
--- a/src/limelever/proxy/call_log.py
+++ b/src/limelever/proxy/call_log.py
@@ -54,7 +54,10 @@
     def attempt_sent(
         self, call: Call, entry: EndpointEntry, choices: int, in_flight: int, now: float
     ) -> None:
-        """Log the endpoint chosen for an attempt, out of ``choices`` usable ones."""
+        """Log the endpoint chosen for an attempt, out of ``choices`` usable ones.
+
+        ``in_flight`` is the number of this proxy's calls in flight at the endpoint.
+        """
         call.last_instance = entry.key.instance
         if not self._log.follows(call.request.request_id):
             return
--- a/src/limelever/proxy/call_state.py
+++ b/src/limelever/proxy/call_state.py
@@ -65,11 +65,14 @@
     """One call from its admission to its final answer; times in seconds.
 
     - ``destination``: the service that the call is routed to.
+    - ``share``: the service and group whose limit the call counts against.
     - ``target_at``: when the route's latency target expires, counted from the caller's first
       request where that is known.
     - ``wake_at``: when the call must be processed next.
+    - ``redirects``: attempts after failures that cost no back end work, such as a draining agent.
     - ``backend_attempts``: attempts that reached a back end, including those it refused.
     - ``alternates_tried``: other endpoints tried after an agent refused the call.
+    - ``version``: version of the route table that admitted the call.
     - ``may_have_run``: the first failure whose outcome was not NOT RUN. Once set, no later failure
       may report the call as not run.
     - ``head_digest``: digest of the request without its body, 0 until it is computed.
--- a/src/limelever/proxy/caller_timeouts.py
+++ b/src/limelever/proxy/caller_timeouts.py
@@ -15,7 +15,7 @@
 """Number of equal histogram steps up to the longest timeout."""
 
 GAP_STEPS = 2
-"""Number of consecutive sparse steps that form a gap; first requests alone show none."""
+"""Number of consecutive sparse steps that form a gap."""
 
 SPARSE_FRACTION = 0.2
 """Fraction of the average count of the steps above, below which a step is sparse."""
@@ -24,21 +24,23 @@
 """Fraction of callers with the largest timeouts that are ignored as outliers."""
 
 
-class FreshTimeouts(Struct, frozen=True):
+class FirstRequestTimeouts(Struct, frozen=True):
     """Minimum and mean timeout of first requests, in milliseconds."""
 
     minimum: float
     mean: float
 
 
-def fresh_timeouts(counts: Counter[int], least_part: float) -> FreshTimeouts | None:
+def first_request_timeouts(
+    counts: Counter[int], min_fraction: float
+) -> FirstRequestTimeouts | None:
     """Return the timeouts of first requests, or ``None`` if they cannot be told from resends.
 
-    ``counts`` maps timeouts in milliseconds to numbers of callers. At least ``least_part`` of
+    ``counts`` maps timeouts in milliseconds to numbers of callers. At least ``min_fraction`` of
     all callers must lie above the gap.
     """
     total = sum(counts.values())
-    longest = _longest(counts, total)
+    longest = _longest_timeout(counts, total)
     if not longest:
         return None
     width = longest / STEPS
@@ -47,12 +49,12 @@
         steps[min(STEPS, int(timeout / width))] += count
     steps[STEPS - 1] += steps.pop()
     lowest = _lowest_above_gap(steps)
-    if lowest is None or sum(steps[lowest:]) < total * least_part:
+    if lowest is None or sum(steps[lowest:]) < total * min_fraction:
         return None
-    return _fresh_band(counts, lowest * width)
+    return _timeouts_above(counts, lowest * width)
 
 
-def _longest(counts: Counter[int], total: int) -> int:
+def _longest_timeout(counts: Counter[int], total: int) -> int:
     """Return the longest timeout without outliers, 0 if there is none."""
     above = 0
     for timeout in sorted(counts, reverse=True):
@@ -75,7 +77,7 @@
     return None
 
 
-def _fresh_band(counts: Counter[int], minimum: float) -> FreshTimeouts:
+def _timeouts_above(counts: Counter[int], minimum: float) -> FirstRequestTimeouts:
     band = {timeout: count for timeout, count in counts.items() if timeout >= minimum}
     mean = sum(timeout * count for timeout, count in band.items()) / sum(band.values())
-    return FreshTimeouts(minimum, mean)
+    return FirstRequestTimeouts(minimum, mean)
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -105,8 +105,8 @@
         self._second_choice_budgets.keep_only(table.services())
         self._attempts.keep_only(table.route_names())
 
-    def table_validated(self, at: float) -> None:
-        """Record when the table was last confirmed to be current (seconds, monotonic)."""
+    def table_confirmed(self, at: float) -> None:
+        """Record when the table was last confirmed current (seconds, monotonic)."""
         self._admission.table_proved(at)
 
     def set_node_count(self, nodes: int) -> None:
--- a/src/limelever/proxy/core.py
+++ b/src/limelever/proxy/core.py
@@ -1,4 +1,4 @@
-"""The sans-I/O core of one proxy: ties configuration, endpoints, calls and claims together."""
+"""The sans-I/O core of one proxy, which combines configuration, endpoints, calls and claims."""
 
 from __future__ import annotations
 
@@ -312,9 +312,9 @@
         )
 
     def _record_freshness(self, proved: FreshnessProved, _now: float) -> None:
-        """Record the freshness proof, unless the route table lags behind the configuration."""
+        """Record when the configuration was confirmed current, unless its table failed to build."""
         if not self._rebuild_needed:
-            self._engine.table_validated(proved.at)
+            self._engine.table_confirmed(proved.at)
 
     def _update_endpoints(self, received: EndpointsReceived, now: float) -> None:
         self._endpoints.apply(received.update, now)
--- a/src/limelever/proxy/prior_waits.py
+++ b/src/limelever/proxy/prior_waits.py
@@ -14,7 +14,7 @@
 
 from collections import Counter
 
-from limelever.proxy.caller_timeouts import FreshTimeouts, fresh_timeouts
+from limelever.proxy.caller_timeouts import FirstRequestTimeouts, first_request_timeouts
 
 SAMPLES_PER_GENERATION = 256
 """Calls of a route after which what was counted weighs half; some seconds of a busy route."""
@@ -45,7 +45,7 @@
         self._total = 0
         self._since_halved = 0
         self._look_at = LEAST_SAMPLES_OF_BAND
-        self._fresh: FreshTimeouts | None = None
+        self._fresh: FirstRequestTimeouts | None = None
 
     def add(self, milliseconds: int) -> None:
         count = self._counts[milliseconds] = self._counts[milliseconds] + 1
@@ -71,10 +71,10 @@
             return False
         return self._counts[self.usual] >= self._total * LEAST_USUAL_PART
 
-    def _look(self) -> FreshTimeouts | None:
+    def _look(self) -> FirstRequestTimeouts | None:
         if self._total >= self._look_at:
             self._look_at = self._total + SAMPLES_PER_LOOK
-            self._fresh = fresh_timeouts(self._counts, LEAST_USUAL_PART)
+            self._fresh = first_request_timeouts(self._counts, LEAST_USUAL_PART)
         return self._fresh
 
     def _halve(self) -> None:
--- a/src/limelever/proxy/settings.py
+++ b/src/limelever/proxy/settings.py
@@ -25,7 +25,8 @@
     """The listener for callers, with TLS if ``certificate`` and ``key`` are set.
 
     ``lame_duck_ms`` is how long a stopping proxy still accepts calls while it reports not ready and
-    closes each connection after its answer, so that load balancers in front can move away.
+    closes each connection after its answer, so that load balancers stop sending it calls.
+    ``buffered_bytes`` limits the request bodies held in memory.
     """
 
     listen: Address
@@ -43,7 +44,17 @@
 
 @attrs.frozen(kw_only=True)
 class CallLimitSettings:
-    """Limits on calls in flight, their timeouts, retries and buffers."""
+    """Limits on calls in flight, their timeouts, retries and buffers.
+
+    - ``share_from_percent``: percentage of ``in_flight`` from which groups are limited to their
+      shares.
+    - ``redirects``: further attempts of a call after failures that cost no back end work.
+    - ``second_choice_percent``: percentage of calls that may be retried once after an agent's
+      refusal, outside the retry budget; 0 applies the retry budget to them.
+    - ``fleet_saved_retries``: retries for each service that all proxies together may save up; 0
+      sets a fixed limit for each proxy.
+    - ``assembly_bytes``: limit on the buffered bytes of all incomplete answers.
+    """
 
     in_flight: int = attrs.field(default=1024, validator=between(1, 100000))
     share_from_percent: int = attrs.field(default=80, validator=between(0, 100))
@@ -61,7 +72,11 @@
 
 @attrs.frozen(kw_only=True)
 class BalancingSettings:
-    """How endpoints are selected, ejected and ramped up."""
+    """How endpoints are selected, ejected and ramped up.
+
+    An endpoint in the proxy's own zone counts as full from ``spill_load_percent`` of its slots.
+    ``ejection_floor_percent`` is the percentage of endpoints that are never ejected.
+    """
 
     spill_load_percent: int = attrs.field(default=100, validator=between(1, 1000))
     ejection_floor_percent: int = attrs.field(default=50, validator=between(0, 100))
@@ -76,7 +91,8 @@
     """How the proxy keeps its configuration current.
 
     ``return_after_ms`` is the initial backoff, doubled each time, before the proxy reconnects to
-    its preferred relay.
+    its preferred relay. ``longest_pause_ms`` limits the wait between attempts to replace a relay
+    that is stale or lost.
     """
 
     stale_after_ms: int = attrs.field(default=8000, validator=between(100, 3600000))
--- a/src/limelever/proxy/transfer_size.py
+++ b/src/limelever/proxy/transfer_size.py
@@ -1,8 +1,8 @@
-"""Estimates the bytes a call transfers, and how long it may wait for an endpoint in its zone.
+"""Estimates the bytes a call transfers, and how long it may take at an endpoint in its zone.
 
 Cross-zone bandwidth is scarce: the more bytes a call transfers, the larger the part of its latency
-target that it may spend waiting in its own zone. When a zone runs out of slots, the smallest calls
-leave it first.
+target that it may use in its own zone, waiting and execution together. When a zone runs out of
+slots, the smallest calls leave it first.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 LARGE_BYTES = 16 * 1024
 """Request and answer bytes up to which a call is small, and from which it is large."""
 
-SMALL_WAIT_FRACTION = 0.3
-MEDIUM_WAIT_FRACTION = 0.7
-LARGE_WAIT_FRACTION = 1.0
+SMALL_TIME_FRACTION = 0.3
+MEDIUM_TIME_FRACTION = 0.7
+LARGE_TIME_FRACTION = 1.0
 """Fraction of the time to its latency target that a call may take in its own zone.
 
 Below 1 except for large calls, to leave time for estimation errors.
@@ -43,27 +43,27 @@
         for name in self._by_route.keys() - routes:
             del self._by_route[name]
 
-    def local_wait_limit(self, call: Call, now: float) -> float:
+    def local_time_limit(self, call: Call, now: float) -> float:
         """Return how long the call may take in its own zone, in seconds; 0 without a target.
 
         A call on a route without observed answers counts as medium unless its body is large.
         """
         if not call.route.target_latency:
             return 0.0
-        return (call.target_at - now) * self._wait_fraction(call)
+        return (call.target_at - now) * self._time_fraction(call)
 
     def is_small(self, call: Call) -> bool:
         """Return whether a call with a latency target is known to transfer few bytes."""
-        return bool(call.route.target_latency) and self._wait_fraction(call) == SMALL_WAIT_FRACTION
+        return bool(call.route.target_latency) and self._time_fraction(call) == SMALL_TIME_FRACTION
 
-    def _wait_fraction(self, call: Call) -> float:
+    def _time_fraction(self, call: Call) -> float:
         body = len(call.request.body)
         if body >= LARGE_BYTES:
-            return LARGE_WAIT_FRACTION
+            return LARGE_TIME_FRACTION
         average = self._by_route.get(call.route.name)
         if average is None:
-            return MEDIUM_WAIT_FRACTION
+            return MEDIUM_TIME_FRACTION
         transferred = body + average
         if transferred >= LARGE_BYTES:
-            return LARGE_WAIT_FRACTION
-        return SMALL_WAIT_FRACTION if transferred <= SMALL_BYTES else MEDIUM_WAIT_FRACTION
+            return LARGE_TIME_FRACTION
+        return SMALL_TIME_FRACTION if transferred <= SMALL_BYTES else MEDIUM_TIME_FRACTION
