--- a/features/proxy/tenants.feature
+++ b/features/proxy/tenants.feature
@@ -11,17 +11,17 @@
       | "token   north-key"                       | goes to the back end for "north"                           |
       | "TOKEN south-key"                         | goes to the back end for "south"                           |
       | "  Token north-key  "                     | goes to the back end for "north"                           |
-      | nothing                                   | is refused as "unauthenticated": the call shows no key     |
-      | "Token lost-key"                          | is refused as "unauthenticated": the call's key is no tenant's |
-      | "Token NORTH-KEY"                         | is refused as "unauthenticated": the call's key is no tenant's |
-      | "Bearer north-key"                        | is refused as "unauthenticated": the call's key is not well formed |
-      | "north-key"                               | is refused as "unauthenticated": the call's key is not well formed |
-      | "Token"                                   | is refused as "unauthenticated": the call's key is not well formed |
-      | "Token north-key south-key"               | is refused as "unauthenticated": the call's key is not well formed |
-      | "Token north-key,south-key"               | is refused as "unauthenticated": the call's key is no tenant's |
-      | "Token north-key" and "Token south-key"   | is refused as "unauthenticated": the call shows more than one key |
-      | "Token north-key" and "Token north-key"   | is refused as "unauthenticated": the call shows more than one key |
-      | a key of 100000 bytes                     | is refused as "unauthenticated": the call's key is not well formed |
+      | nothing                                   | is refused as "unauthenticated": the request has no API key     |
+      | "Token lost-key"                          | is refused as "unauthenticated": the API key is unknown |
+      | "Token NORTH-KEY"                         | is refused as "unauthenticated": the API key is unknown |
+      | "Bearer north-key"                        | is refused as "unauthenticated": the API key is malformed |
+      | "north-key"                               | is refused as "unauthenticated": the API key is malformed |
+      | "Token"                                   | is refused as "unauthenticated": the API key is malformed |
+      | "Token north-key south-key"               | is refused as "unauthenticated": the API key is malformed |
+      | "Token north-key,south-key"               | is refused as "unauthenticated": the API key is unknown |
+      | "Token north-key" and "Token south-key"   | is refused as "unauthenticated": the request has more than one API key |
+      | "Token north-key" and "Token north-key"   | is refused as "unauthenticated": the request has more than one API key |
+      | a key of 100000 bytes                     | is refused as "unauthenticated": the API key is malformed |
 
   Scenario: Any header gets a defined answer
     Given any bytes as the header of a key, the answer is a tenant or a refusal that doesn't repeat them
@@ -73,7 +73,7 @@
       | 4     | 3.9 | "Token north-key" | desk  | goes to the back end for "north"                       |
       | 4     | 4   | "Token north-key" | desk  | is refused as "stale" with a time to come back         |
       | 4     | 60  | nothing           | open  | goes to the back end for ""                            |
-      | 0     | 7   | "Token lost-key"  | desk  | is refused as "unauthenticated": the call's key is no tenant's |
+      | 0     | 7   | "Token lost-key"  | desk  | is refused as "unauthenticated": the API key is unknown |
       | 0     | 8   | "Token lost-key"  | desk  | is refused as "stale" with a time to come back         |
       | 0     | 8   | nothing           | desk  | is refused as "stale" with a time to come back         |
 
@@ -89,7 +89,7 @@
     Then the call goes to the back end for "north"
     When the keys of "north" become "other-key"
     And a caller shows "Token north-key" on the route "desk"
-    Then the call is refused as "unauthenticated": the call's key is no tenant's
+    Then the call is refused as "unauthenticated": the API key is unknown
     When a caller shows "Token other-key" on the route "desk"
     Then the call goes to the back end for "north"
 
@@ -103,7 +103,7 @@
     Given a proxy whose configuration has the tenants "north" and "south", proved current
     When the tenant "north" is deleted
     And a caller shows "Token north-key" on the route "desk"
-    Then the call is refused as "unauthenticated": the call's key is no tenant's
+    Then the call is refused as "unauthenticated": the API key is unknown
     When the tenant "south" is deleted
     And a caller shows nothing on the route "desk"
     Then the call goes to the back end for ""
--- a/features/steps/limits_fleet.py
+++ b/features/steps/limits_fleet.py
@@ -215,7 +215,7 @@
 
     def _configure_proxy(self, proxy: Proxy) -> None:
         proxy.limits.set_tenants({name: each.entry for name, each in self.tenants.items()})
-        proxy.limits.nodes_known(len(self.proxies))
+        proxy.limits.set_node_count(len(self.proxies))
 
     def _link(self, one: Relay | Proxy, other: Relay) -> int:
         return tenant_hash(f"{one.name} {other.name}")
@@ -248,7 +248,7 @@
             return
         relay = proxy.relay = self.random.choice(self._near(proxy, usable))
         relay.board.join(self._link(proxy, relay), proxy.name)
-        use = proxy.limits.joined(self.now)
+        use = proxy.limits.full_report(self.now)
         if use is not None:
             self._send_up(proxy, relay, use)
 
@@ -285,7 +285,7 @@
     def _take(self, proxy: Proxy, relay: Relay, news: LimitNews) -> Callable[[], None]:
         def arrive() -> None:
             if proxy.relay is relay:
-                proxy.limits.take_news(news, self.now)
+                proxy.limits.apply_news(news, self.now)
 
         return arrive
 
--- a/features/steps/limits_ways.py
+++ b/features/steps/limits_ways.py
@@ -67,18 +67,18 @@
             return None
         limit = Limit(tenant.rate, tenant.burst)
         rate, until = self._rates.get(number, (0.0, 0.0))
-        equal = self._rules.aim(limit) / max(1, self._nodes)
+        equal = self._rules.aim(limit) / max(1, self._node_count)
         if now > until:
             rate = equal / self._rules.window
-        most = 1.0 + self._rules.slack / max(1, self._nodes) + rate
+        most = 1.0 + self._rules.slack / max(1, self._node_count) + rate
         tokens, at = self._tokens.get(number, (min(1.0, most), now))
         tokens = min(most, tokens + rate * (now - at))
         self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
-        self._note(number, tokens >= 1)
+        self._record_decision(number, tokens >= 1)
         self._gates[number].use.add(now, int(tokens >= 1), int(tokens < 1))
         return None if tokens >= 1 else Failure(ErrorKind.RATE_LIMITED, "no lease")
 
-    def take_news(self, news, now):
+    def apply_news(self, news, now):
         for number, rate in zip(news.tenants, news.permille, strict=True):
             self._rates[number] = (rate / 1000, now + LEASE)
 
--- a/features/steps/prior_wait_steps.py
+++ b/features/steps/prior_wait_steps.py
@@ -9,7 +9,7 @@
 from limelever.agent.group_queue import GroupQueue, QueuedCall
 from limelever.agent.group_table import GroupTable
 from limelever.agent.wait_estimate import WaitEstimate
-from limelever.proxy.prior_waits import PriorWaits
+from limelever.proxy.prior_waits import PriorWaitEstimator
 
 ROUTE = "reads"
 CALLS = 400
@@ -20,12 +20,12 @@
     "callers of a route of whom {usual:d} in 100 name {named:d} ms, and the others any time below"
 )
 def given_callers(context, usual, named):
-    context.waits = PriorWaits()
+    context.waits = PriorWaitEstimator()
     drawn = random.Random(SEED)
     for _ in range(CALLS):
         fresh = drawn.randrange(100) < usual
         milliseconds = named if fresh else drawn.randrange(1, named)
-        context.waits.waited(ROUTE, milliseconds / 1000)
+        context.waits.observe(ROUTE, milliseconds / 1000)
 
 
 @given(
@@ -33,24 +33,24 @@
     "back after a third of it"
 )
 def given_patient_callers(context, least, most, back):
-    context.waits = PriorWaits()
+    context.waits = PriorWaitEstimator()
     drawn = random.Random(SEED)
     for _ in range(CALLS):
         milliseconds = drawn.randint(least, most)
         if drawn.randrange(100) < back:
             milliseconds = milliseconds * 2 // 3
-        context.waits.waited(ROUTE, milliseconds / 1000)
+        context.waits.observe(ROUTE, milliseconds / 1000)
 
 
 @when("{count:d} callers name {named:d} ms")
 def when_callers_name(context, count, named):
     for _ in range(count):
-        context.waits.waited(ROUTE, named / 1000)
+        context.waits.observe(ROUTE, named / 1000)
 
 
 @when("a caller names {named:d} ms")
 def when_caller_names(context, named):
-    context.waited = context.waits.waited(ROUTE, named / 1000)
+    context.waited = context.waits.observe(ROUTE, named / 1000)
 
 
 @then("it is taken to have waited for {least:d} to {most:d} ms")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -16,7 +16,7 @@
 from limelever.proxy.call_state import AttemptEnded, Call
 from limelever.proxy.call_types import CallRequest
 from limelever.proxy.group_limits import ShareKey
-from limelever.proxy.quarantine import CrashNewsFound, Quarantine
+from limelever.proxy.quarantine import Quarantine, SendCrashNews
 from limelever.proxy.router import RouteEntry, RoutePart
 from limelever.quarantine.evidence import Evidence, Suspected
 from limelever.quarantine.fingerprint import Fingerprint
@@ -201,7 +201,7 @@
 
     def tell_others(self, now: float) -> None:
         for found in [o for outputs in self.outputs for o in outputs]:
-            if isinstance(found, CrashNewsFound):
+            if isinstance(found, SendCrashNews):
                 for each in self.all:
                     each.take(found.news, now)
         for outputs in self.outputs:
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -40,7 +40,7 @@
 from limelever.proxy.retry_budget import RetryBudgets
 from limelever.proxy.retry_rules import RetrySettings
 from limelever.proxy.route_table import build_route_table
-from limelever.proxy.split import Splits
+from limelever.proxy.traffic_split import TrafficSplitter
 from limelever.subscriber.configuration import ConfigurationSet
 from limelever.subscriber.notices import ConfigurationInstalled, EndpointsReceived
 from limelever.subscriber.settings import SubscriberSettings
@@ -100,7 +100,7 @@
     @examples(weights, st.integers(1, 300), st.integers(0, 9))
     def check(given_weights, count, seed):
         entry = split_entry(given_weights)
-        splits = Splits(random.Random(seed))
+        splits = TrafficSplitter(random.Random(seed))
         taken = [splits.choose(entry).service for _ in range(count)]
         for number, weight in enumerate(given_weights):
             fair = count * weight / sum(given_weights)
@@ -111,8 +111,8 @@
 
 @given("a split of 90 and 10 that has taken 5 calls")
 def given_split(context):
-    context.splits = Splits(random.Random(3))
-    context.reference = Splits(random.Random(3))
+    context.splits = TrafficSplitter(random.Random(3))
+    context.reference = TrafficSplitter(random.Random(3))
     for splits in (context.splits, context.reference):
         for _ in range(5):
             splits.choose(split_entry([90, 10]))
@@ -195,7 +195,7 @@
 
 @given("a proxy with a route for calls that run once a sending")
 def given_once(context):
-    context.proxy = Proxy(RetrySettings(fleet_saved=30))
+    context.proxy = Proxy(RetrySettings(fleet_saved_retries=30))
     for _ in range(30):
         context.proxy.core._engine._budgets.of("orders", 0).record_fresh_call()
     context.proxy.call()
@@ -265,7 +265,7 @@
 
 @when("the fleet has {nodes:d} nodes")
 def when_nodes(context, nodes):
-    context.budgets.share_between(nodes)
+    context.budgets.set_node_count(nodes)
 
 
 @then("{count:d} retries can be taken at once and no more")
--- a/features/steps/tenant_proxy.py
+++ b/features/steps/tenant_proxy.py
@@ -32,9 +32,9 @@
 from limelever.protocol.keys import tenant_key
 from limelever.protocol.tenant_keys import digest_of
 from limelever.proxy.admission import AdmissionSettings
+from limelever.proxy.api_key_auth import ApiKeyHeader
 from limelever.proxy.attempts import AttemptSettings
 from limelever.proxy.call_types import AnswerCall, CallArrived, CallRequest
-from limelever.proxy.caller_keys import KeyHeader
 from limelever.proxy.calls import CallSettings
 from limelever.proxy.core import ProxyCore, ProxyCoreSettings
 from limelever.subscriber.configuration import EMPTY_CONFIGURATION
@@ -71,7 +71,7 @@
     """Times are virtual seconds; ``now`` begins at 100."""
 
     def __init__(self, tenants, revoked_after=0.0, proved=True):
-        header = KeyHeader(NAMES.authorization, NAMES.key_scheme)
+        header = ApiKeyHeader(NAMES.authorization, NAMES.key_scheme)
         admission = AdmissionSettings(key_header=header, revoked_after=revoked_after)
         self.now = 100.0
         self.core = ProxyCore(
--- a/features/steps/tenant_refusal_steps.py
+++ b/features/steps/tenant_refusal_steps.py
@@ -69,7 +69,7 @@
     context.tenant = TenantEntry("north", 0, calls / rules.window, 0.0)
     context.limits = TenantLimits(rules, random.Random(1))
     context.limits.set_tenants({"north": context.tenant})
-    context.limits.nodes_known(1)
+    context.limits.set_node_count(1)
     context.admitted = 0
 
 
@@ -78,7 +78,7 @@
         admitted = context.limits.admit(context.tenant, NOW) is None
         context.admitted += admitted
         if admitted and not run:
-            context.limits.give_back("north", NOW, NOW)
+            context.limits.refund("north", NOW, NOW)
 
 
 @when("it is asked for {calls:d} calls that are all not run")
@@ -110,7 +110,7 @@
     context.limits.set_tenants({"north": context.tenant})
     context.now = NOW
     context.news = LimitNews(proxies=1, tenants=[tenant_hash("north")], permille=[500])
-    context.limits.take_news(context.news, NOW)
+    context.limits.apply_news(context.news, NOW)
 
 
 @when("for {seconds:d} seconds each fresh call is followed by one that comes back late")
@@ -119,7 +119,7 @@
     for index in range(seconds * 100):
         context.now = NOW + index / 100
         if index % 20 == 0:
-            context.limits.take_news(context.news, context.now)
+            context.limits.apply_news(context.news, context.now)
         context.fresh += 1
         fresh = context.limits.admit(context.tenant, context.now)
         late = context.limits.admit(context.tenant, context.now, is_late=True)
@@ -135,7 +135,7 @@
 
 @when("its relay tells that there is room again")
 def tell_room(context: Context) -> None:
-    context.limits.take_news(LimitNews(proxies=1), context.now)
+    context.limits.apply_news(LimitNews(proxies=1), context.now)
 
 
 @then("a call that comes back late is let in")
--- a/features/steps/uneven_instances_steps.py
+++ b/features/steps/uneven_instances_steps.py
@@ -66,7 +66,7 @@
     context.balancer, context.now = balancer_of(), NOW
     for entry in context.usable:
         context.balancer.observe_load(entry.key, 0, NOW, 0.1)
-    context.balancer.observe_pace(context.usable[0].key, int(factor * 1000), NOW)
+    context.balancer.observe_slowdown(context.usable[0].key, int(factor * 1000), NOW)
 
 
 @when("{seconds:g} seconds pass without word of it")
@@ -78,7 +78,7 @@
     """Return the places of the endpoints that calls go to, each in flight while others come."""
     places = []
     for _ in range(PICKS):
-        entry = context.balancer.pick(context.usable, context.now, local_within=1.0)
+        entry = context.balancer.pick(context.usable, context.now, local_budget=1.0)
         places.append(context.usable.index(entry))
     return set(places)
 
--- a/src/limelever/proxy/admission.py
+++ b/src/limelever/proxy/admission.py
@@ -1,4 +1,7 @@
-"""Admits a call or says at once why not: route, tenant, body, idempotency key, time and limits."""
+"""Admission control: routes and authenticates an incoming call, validates it and applies limits.
+
+A call that fails any of these checks is answered at once, without being sent to an endpoint.
+"""
 
 from __future__ import annotations
 
@@ -8,31 +11,31 @@
 from msgspec import Struct, field
 
 from limelever.common.errors import ErrorKind, Failure
+from limelever.proxy.api_key_auth import ApiKeyHeader, authenticate
 from limelever.proxy.call_state import Call
 from limelever.proxy.call_types import (
     GROUP_LENGTH_LIMIT,
     IDEMPOTENCY_KEY_LENGTH_LIMIT,
     CallRequest,
 )
-from limelever.proxy.caller_keys import KeyHeader, tenant_of
 from limelever.proxy.group_limits import GroupLimits, ShareKey
-from limelever.proxy.prior_waits import PriorWaits
+from limelever.proxy.prior_waits import PriorWaitEstimator
 from limelever.proxy.router import RouteEntry, RoutePart, RouteTable
-from limelever.proxy.split import Splits
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.proxy.tenants import TenantEntry
+from limelever.proxy.traffic_split import TrafficSplitter
 
-FIRST_CONFIGURATION_SECONDS = 0.25
-"""Advice to callers of a proxy that has just started: its first configuration comes within it, by
-the timelines in docs/design/recovery.md."""
+MIN_CONFIGURATION_RETRY_SECONDS = 0.25
+"""Shortest retry delay while the proxy waits for its configuration; the first one usually arrives
+within it after a start."""
 
-LONGEST_CONFIGURATION_WAIT = 1.0
-"""Most seconds of that advice, while no configuration comes: a source elects a leader in less."""
+MAX_CONFIGURATION_RETRY_SECONDS = 1.0
+"""Longest such delay; the configuration source elects a new leader in less time."""
 
 
-STOPPING = Failure(ErrorKind.DRAINING, "this proxy stops before the call would have begun")
+PROXY_STOPPING = Failure(ErrorKind.DRAINING, "the proxy is shutting down; the call was not started")
 
-_DECIDED_BY_TABLE = frozenset(
+_TABLE_DEPENDENT_KINDS = frozenset(
     {
         ErrorKind.NO_ROUTE,
         ErrorKind.METHOD_NOT_ALLOWED,
@@ -41,26 +44,31 @@
         ErrorKind.UNAUTHENTICATED,
     }
 )
-"""Refusals for good that a newer configuration may turn into service."""
+"""Permanent refusals that a newer configuration may reverse."""
 
 
 class AdmissionSettings(Struct, frozen=True):
-    """Settings in seconds.
+    """Admission settings; times in seconds.
 
-    ``default_timeout`` is of routes that name none. ``stale_after`` is how old the proof of the
-    configuration may be by which a caller is told that there is no route. ``revoked_after`` is how
-    old it may be by which a key lets a caller in, as the key may have been taken away since; 0 sets
-    no bound. ``key_header`` is where callers show their keys.
+    ``default_timeout`` applies to routes without a timeout of their own. ``stale_after`` is the age
+    of the last freshness proof from which refusals based on the route table become ``STALE``.
+    ``revoked_after`` is the age from which API keys are no longer accepted, because a key may have
+    been revoked since; 0 accepts them at any age. ``key_header`` is the header that carries the
+    caller's API key.
     """
 
     default_timeout: float = 10.0
     stale_after: float = 8.0
     revoked_after: float = 0.0
-    key_header: KeyHeader = field(default_factory=KeyHeader)
+    key_header: ApiKeyHeader = field(default_factory=ApiKeyHeader)
 
 
 class CallAdmission:
-    """Decides about calls that arrive, by the table held and by when that was proved current."""
+    """Admits or refuses incoming calls.
+
+    ``proved_at`` is when the current table was last confirmed to be up to date (seconds,
+    monotonic), ``None`` for never.
+    """
 
     def __init__(
         self,
@@ -72,50 +80,50 @@
         self._settings = settings
         self._limits = limits
         self._tenant_limits = tenant_limits
-        self._splits = Splits(random_source)
-        self._prior_waits = PriorWaits()
+        self._splitter = TrafficSplitter(random_source)
+        self._prior_waits = PriorWaitEstimator()
         self._table: RouteTable | None = None
-        self._first_untabled: float | None = None
+        self._without_table_since: float | None = None
         self._stopping = False
         self.proved_at: float | None = None
 
     @property
     def version(self) -> int:
-        """Return the configuration version of the table, 0 while there is none."""
+        """Return the configuration version of the route table, 0 if there is none."""
         return self._table.version if self._table is not None else 0
 
     def set_table(self, table: RouteTable) -> None:
-        """Route calls by this table from now on."""
+        """Route calls by this table from now on, and drop the state of removed routes."""
         self._table = table
-        self._splits.keep_only(table.route_names())
+        self._splitter.keep_only(table.route_names())
         self._prior_waits.keep_only(table.route_names())
 
     def table_proved(self, at: float) -> None:
-        """Take the time at which the table was known to be current (seconds, monotonic)."""
+        """Record when the table was last confirmed to be up to date (seconds, monotonic)."""
         self.proved_at = at
 
     def stop(self) -> None:
-        """Admit no call any more: the process ends before it could be served."""
+        """Refuse all further calls because the process is shutting down."""
         self._stopping = True
 
     def admit(self, number: int, request: CallRequest, now: float) -> Call | Failure:
-        """Return the admitted call, counted in the limits, or the refusal to answer at once."""
+        """Return the admitted call, counted against the limits, or the refusal."""
         if self._stopping:
-            return STOPPING
+            return PROXY_STOPPING
         if self._table is None:
             return self._without_table(now)
         route = self._table.match(request.method, request.target, request.host)
         if isinstance(route, Failure):
-            return unless_unproved(route, self.proved_at, self._settings, now)
-        tenant = self._tenant(self._table, route, request, now)
+            return refusal_or_stale(route, self.proved_at, self._settings, now)
+        tenant = self._authenticate(self._table, route, request, now)
         if isinstance(tenant, Failure):
-            return unless_unproved(tenant, self.proved_at, self._settings, now)
-        part = self._splits.choose(route)
-        refusal = _check(request, route, part)
+            return refusal_or_stale(tenant, self.proved_at, self._settings, now)
+        part = self._splitter.choose(route)
+        refusal = _validate(request, route, part)
         if refusal is not None:
-            return unless_unproved(refusal, self.proved_at, self._settings, now)
+            return refusal_or_stale(refusal, self.proved_at, self._settings, now)
         target = now + route.target_latency if route.target_latency else math.inf
-        target -= self._prior_waits.waited(route.name, request.timeout)
+        target -= self._prior_waits.observe(route.name, request.timeout)
         if tenant is not None:
             refusal = self._tenant_limits.admit(tenant, now, is_late=target <= now)
             if refusal is not None:
@@ -123,7 +131,7 @@
         share = ShareKey(part.service, request.group)
         refusal = self._limits.admit(share, self._table.weight(part.service, request.group))
         if refusal is not None:
-            self._not_run(tenant, now)
+            self._refund_tenant(tenant, now)
             return refusal
         deadline = now + call_timeout(request, route, self._settings)
         return Call(
@@ -140,81 +148,83 @@
             rank=self._table.ranks.rank(route.priority, tenant.priority if tenant else 0),
         )
 
-    def _not_run(self, tenant: TenantEntry | None, now: float) -> None:
+    def _refund_tenant(self, tenant: TenantEntry | None, now: float) -> None:
         if tenant is not None:
-            self._tenant_limits.give_back(tenant.name, now, now)
+            self._tenant_limits.refund(tenant.name, now, now)
 
-    def _tenant(
+    def _authenticate(
         self, table: RouteTable, route: RouteEntry, request: CallRequest, now: float
     ) -> TenantEntry | Failure | None:
-        """Return the tenant whose call it is, ``None`` where none is asked for."""
+        """Return the tenant of the call, ``None`` if the route needs no API key."""
         if not table.tenants or route.public:
             return None
-        tenant = tenant_of(request.headers, self._settings.key_header, table.tenants)
+        tenant = authenticate(request.headers, self._settings.key_header, table.tenants)
         if isinstance(tenant, Failure):
             return tenant
-        return self._if_not_revoked(tenant, now)
+        return self._check_revocation(tenant, now)
 
-    def _if_not_revoked(self, tenant: TenantEntry, now: float) -> TenantEntry | Failure:
-        """Return the tenant, or ``STALE`` where its key may have been taken away unheard."""
-        bound = self._settings.revoked_after
-        age = _age(self.proved_at, now)
-        if not bound or age < bound:
+    def _check_revocation(self, tenant: TenantEntry, now: float) -> TenantEntry | Failure:
+        """Return the tenant, or ``STALE`` if its key may have been revoked unnoticed."""
+        max_age = self._settings.revoked_after
+        age = _configuration_age(self.proved_at, now)
+        if not max_age or age < max_age:
             return tenant
-        reason = "the key is known, but by a configuration that is not proved current"
-        return Failure(ErrorKind.STALE, reason, retry_after=_configuration_advice(age - bound))
+        reason = "the API key may have been revoked: the configuration is not confirmed as current"
+        return Failure(
+            ErrorKind.STALE, reason, retry_after=_configuration_retry_after(age - max_age)
+        )
 
     def _without_table(self, now: float) -> Failure:
-        if self._first_untabled is None:
-            self._first_untabled = now
+        if self._without_table_since is None:
+            self._without_table_since = now
         return Failure(
             ErrorKind.NO_CONFIGURATION,
-            "no configuration is held yet",
-            retry_after=_configuration_advice(now - self._first_untabled),
+            "the proxy has not received a configuration yet",
+            retry_after=_configuration_retry_after(now - self._without_table_since),
         )
 
 
-def unless_unproved(
+def refusal_or_stale(
     refusal: Failure, proved_at: float | None, settings: AdmissionSettings, now: float
 ) -> Failure:
-    """Return the refusal, or ``STALE`` where it rests on a table that may be out of date.
+    """Return the refusal, or ``STALE`` if it rests on a route table that may be out of date.
 
-    A change that was acknowledged may not have come yet: a caller that is told that a route isn't
-    there gives up for good, one that is told to come back is served. ``proved_at`` is when the
-    table was last known to be current, ``None`` for never.
+    A caller that is told that a route does not exist gives up, while one that gets ``STALE``
+    retries and is served once the proxy has caught up. ``proved_at`` is when the table was last
+    confirmed to be up to date, ``None`` for never.
     """
-    if refusal.kind not in _DECIDED_BY_TABLE:
+    if refusal.kind not in _TABLE_DEPENDENT_KINDS:
         return refusal
-    age = _age(proved_at, now)
+    age = _configuration_age(proved_at, now)
     if age < settings.stale_after:
         return refusal
-    reason = f"{refusal.reason}, by a configuration that is not proved current"
-    advice = _configuration_advice(age - settings.stale_after)
-    return Failure(ErrorKind.STALE, reason, retry_after=advice)
+    reason = f"{refusal.reason}; the configuration is not confirmed as current"
+    retry_after = _configuration_retry_after(age - settings.stale_after)
+    return Failure(ErrorKind.STALE, reason, retry_after=retry_after)
 
 
-def _age(proved_at: float | None, now: float) -> float:
-    """Return how many seconds ago the table was known to be current."""
+def _configuration_age(proved_at: float | None, now: float) -> float:
+    """Return the seconds since the table was last confirmed to be up to date."""
     return math.inf if proved_at is None else now - proved_at
 
 
-def _configuration_advice(without_table: float) -> float:
-    """Return after how many seconds a first or a current configuration may be expected.
+def _configuration_retry_after(elapsed: float) -> float:
+    """Return the retry delay in seconds while a current configuration is missing.
 
-    The longer there has been none, the longer it may still take.
+    It grows with the time for which there has been none.
     """
-    return min(max(FIRST_CONFIGURATION_SECONDS, without_table), LONGEST_CONFIGURATION_WAIT)
+    return min(max(MIN_CONFIGURATION_RETRY_SECONDS, elapsed), MAX_CONFIGURATION_RETRY_SECONDS)
 
 
 def call_timeout(request: CallRequest, route: RouteEntry, settings: AdmissionSettings) -> float:
-    """Return the seconds the call has: the caller's wish, capped by the route's."""
-    longest = route.timeout or settings.default_timeout
-    return min(request.timeout, longest) if request.timeout > 0 else longest
+    """Return the call's timeout in seconds: the requested one, capped by the route's."""
+    route_timeout = route.timeout or settings.default_timeout
+    return min(request.timeout, route_timeout) if request.timeout > 0 else route_timeout
 
 
-def _check(request: CallRequest, route: RouteEntry, part: RoutePart) -> Failure | None:
+def _validate(request: CallRequest, route: RouteEntry, part: RoutePart) -> Failure | None:
     if part.max_body_bytes and len(request.body) > part.max_body_bytes:
-        reason = f"body of {len(request.body)} bytes, limit {part.max_body_bytes}"
+        reason = f"body of {len(request.body)} bytes exceeds the limit of {part.max_body_bytes}"
         return Failure(ErrorKind.BODY_TOO_LARGE, reason)
     if not 0 < len(request.group) <= GROUP_LENGTH_LIMIT:
         reason = f"group name must have 1 to {GROUP_LENGTH_LIMIT} characters"
@@ -222,9 +232,9 @@
     if not route.at_most_once:
         return None
     if not request.idempotency_key:
-        reason = "calls on this route need the header idempotency-key"
+        reason = "this route requires the idempotency-key header"
         return Failure(ErrorKind.IDEMPOTENCY_KEY_MISSING, reason)
     if len(request.idempotency_key) > IDEMPOTENCY_KEY_LENGTH_LIMIT:
-        reason = f"idempotency-key is over {IDEMPOTENCY_KEY_LENGTH_LIMIT} bytes"
+        reason = f"idempotency-key exceeds {IDEMPOTENCY_KEY_LENGTH_LIMIT} bytes"
         return Failure(ErrorKind.INVALID_REQUEST, reason)
     return None
--- a/src/limelever/proxy/agent_messages.py
+++ b/src/limelever/proxy/agent_messages.py
@@ -20,7 +20,7 @@
 )
 from limelever.proxy import events
 from limelever.proxy.answer_assembly import AnswerAssembly
-from limelever.proxy.attempt_ends import AttemptEnds
+from limelever.proxy.attempt_completion import AttemptCompleter
 from limelever.proxy.call_state import Attempt, AttemptEnded, Call, CallTable
 from limelever.proxy.health import Verdict
 from limelever.proxy.outgoing import next_parts
@@ -44,7 +44,7 @@
     def __init__(
         self,
         calls: CallTable,
-        ends: AttemptEnds,
+        ends: AttemptCompleter,
         assembly: AnswerAssembly,
         outputs: list[Output],
     ) -> None:
@@ -69,7 +69,7 @@
         if isinstance(message, ResponseBody):
             return self._take_part(call, call.attempt, message, now)
         if message.HasField("load"):
-            self._ends.observe(call, call.attempt, message.load, now)
+            self._ends.record_load(call, call.attempt, message.load, now)
         if isinstance(message, CallFailed):
             return self._take_failure(call, call.attempt, message, now)
         call.attempt.status = message.status
--- a/src/limelever/proxy/attempt_ends.py
+++ b/src/limelever/proxy/attempt_completion.py
@@ -1,4 +1,5 @@
-"""How attempts end: what the balancer and the endpoint view are told, and what is let go."""
+"""Ends attempts: frees their resources and reports the outcome to the balancer and endpoint
+view."""
 
 from __future__ import annotations
 
@@ -18,8 +19,8 @@
 _FAILED_STATUSES = frozenset({500, 502, 504})
 
 
-class AttemptEnds:
-    """Ends attempts and tells the proxy's view of endpoints what they showed."""
+class AttemptCompleter:
+    """Ends attempts and passes on what they reveal about their endpoints."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         self._outputs = outputs
 
     def succeed(self, call: Call, attempt: Attempt, body: bytes, now: float) -> AttemptEnded:
-        """End an attempt with the back end's whole answer."""
+        """End an attempt with the back end's complete answer."""
         answer = CallAnswer(attempt.status, attempt.headers, body)
         failed = attempt.status in _FAILED_STATUSES
         if not failed:
@@ -53,7 +54,7 @@
         return AttemptEnded(call, Failure(kind, reason))
 
     def close(self, call: Call, attempt: Attempt, verdict: Verdict, now: float) -> None:
-        """End an attempt: its stream is free, and the balancer hears the verdict."""
+        """End an attempt: release its stream and report the verdict to the balancer."""
         call.attempt = None
         self._assembly.release(attempt)
         if attempt.stream != NOT_SENT:
@@ -69,12 +70,12 @@
             }
             self._outputs.append(LogEvent(events.ENDPOINT_EJECTED, fields))
 
-    def observe(self, call: Call, attempt: Attempt, load: AgentLoad, now: float) -> None:
-        """Take the load that an agent reported with its answer to a call."""
+    def record_load(self, call: Call, attempt: Attempt, load: AgentLoad, now: float) -> None:
+        """Record the load that an agent reported along with its answer to a call."""
         reported = load.in_flight + load.queued
         key = attempt.entry.key
         self._balancer.observe_load(key, reported, now, load.service_us / _MICROSECONDS)
-        self._balancer.observe_pace(key, load.pace_permille, now)
+        self._balancer.observe_slowdown(key, load.pace_permille, now)
         if load.route_service_us:
             seconds = load.route_service_us / _MICROSECONDS
             self._balancer.observe_route(key, call.route.name, seconds)
@@ -82,7 +83,7 @@
             self.retire(attempt)
 
     def retire(self, attempt: Attempt) -> None:
-        """Give no more work to the incarnation of an attempt."""
+        """Send no further work to the incarnation that ran an attempt."""
         key = attempt.entry.key
         if self._view.retire(key, attempt.entry.incarnation):
             fields: dict[str, object] = {"service": key.service, "instance": key.instance}
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -17,12 +17,12 @@
 from limelever.protocol.keeper_pb2 import RecordedAnswer
 from limelever.proxy import claims, events
 from limelever.proxy.admission import (
-    STOPPING,
+    PROXY_STOPPING,
     AdmissionSettings,
     CallAdmission,
     call_timeout,
 )
-from limelever.proxy.attempts import Attempts
+from limelever.proxy.attempts import AttemptDispatcher
 from limelever.proxy.call_log import CallLog, open_calls
 from limelever.proxy.call_state import AttemptEnded, Call, CallTable, Phase
 from limelever.proxy.call_types import AnswerCall, CallAnswer, CallRequest
@@ -66,7 +66,7 @@
         self,
         settings: CallSettings,
         calls: CallTable,
-        attempts: Attempts,
+        attempts: AttemptDispatcher,
         limits: GroupLimits,
         tenant_limits: TenantLimits,
         keepers: claims.KeeperClient,
@@ -83,7 +83,7 @@
         self._claims = claims.CallClaims(keepers, calls, random_source, outputs)
         self._quarantine = quarantine
         self._outputs = outputs
-        self._budgets = RetryBudgets(settings.retry.fleet_saved)
+        self._budgets = RetryBudgets(settings.retry.fleet_saved_retries)
         self._second_percent = settings.retry.second_choice_percent
         self._second_choices = RetryBudgets()
         self._gives_back = False
@@ -98,7 +98,9 @@
     def set_table(self, table: RouteTable) -> None:
         """Route new calls by this table; those in flight keep their route."""
         self._admission.set_table(table)
-        self._attempts.set_secret_names(table.secret_names, callers_show_keys=bool(table.tenants))
+        self._attempts.set_reserved_headers(
+            table.secret_names, callers_show_keys=bool(table.tenants)
+        )
         self._budgets.keep_only(table.services())
         self._second_choices.keep_only(table.services())
         self._attempts.keep_only(table.route_names())
@@ -109,7 +111,7 @@
 
     def share_budgets_between(self, nodes: int) -> None:
         """Take the number of nodes whose proxies share the retries of a service."""
-        self._budgets.share_between(nodes)
+        self._budgets.set_node_count(nodes)
 
     # --- events of the edge -------------------------------------------------------------------
 
@@ -170,7 +172,7 @@
                 self._attempts.cancel_unless_begun(call)
             elif call.phase in (Phase.DIALLING, Phase.CLAIMING):
                 self._attempts.abandon(call, Verdict.NEUTRAL, now)
-                self._finish(call, STOPPING, now)
+                self._finish(call, PROXY_STOPPING, now)
 
     def end_open(self, now: float) -> None:
         """Give each call that is still open its final answer: the process ends.
@@ -184,8 +186,8 @@
                 self._answer_completed(call, False, now)
                 continue
             handed_on = call.phase in (Phase.HANDED_ON, Phase.CANCELLING)
-            self._attempts.let_go(call, now)
-            self._finish(call, _CUT_BY_STOP if handed_on else STOPPING, now)
+            self._attempts.abandon_without_cancel(call, now)
+            self._finish(call, _CUT_BY_STOP if handed_on else PROXY_STOPPING, now)
 
     def give_back_quarantined(self, now: float) -> None:
         """End the calls of convicted requests that no back end has begun."""
@@ -220,7 +222,7 @@
 
     def claim_granted(self, token: bytes, now: float) -> None:
         """Hand the call on: its claim is held by a majority of the keepers."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is None:
             self._claims.release(token, now)
             return
@@ -232,20 +234,20 @@
 
     def claim_answered(self, token: bytes, record: RecordedAnswer, now: float) -> None:
         """Answer a resend with what was recorded for the first sending."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is not None:
-            self._end(call, claims.replayed(record), now)
+            self._end(call, claims.replayed_answer(record), now)
 
     def claim_refused(self, token: bytes, failure: Failure, now: float) -> None:
         """Answer a call whose claim was not granted; what a minority granted is given back."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is not None:
             self._claims.release(token, now)
             self._end(call, with_retry_after(failure), now)
 
     def completion_settled(self, token: bytes, recorded: bool, now: float) -> None:
         """Answer a call whose answer the keepers recorded, or could not."""
-        call = self._claims.completing(token)
+        call = self._claims.waiting_for_completion(token)
         if call is not None:
             self._answer_completed(call, recorded, now)
 
@@ -284,7 +286,7 @@
             call.arrivals += 1
         if result.outcome is not Outcome.NOT_RUN and call.may_have_run is None:
             call.may_have_run = result
-        if ended.crash and self._quarantine.crashed(ended, now):
+        if ended.crash and self._quarantine.record_crash(ended, now):
             self.give_back_quarantined(now)
         refusal = self._quarantine.refusal(call, now)
         if refusal is not None and result.outcome is Outcome.NOT_RUN:
@@ -300,7 +302,7 @@
     def _may_go_on(self, call: Call, failure: Failure, now: float) -> bool:
         if self._gives_back or now >= call.deadline or failure.kind is ErrorKind.QUARANTINED:
             return False
-        if failure.kind is ErrorKind.BACKEND_CRASHED and not self._quarantine.may_try_again(call):
+        if failure.kind is ErrorKind.BACKEND_CRASHED and not self._quarantine.may_retry(call):
             return False
         step = next_step(call, failure, self._settings.retry)
         if step is NextStep.REDIRECT:
@@ -308,7 +310,7 @@
             return True
         if step is NextStep.GIVE_UP:
             return False
-        if step is NextStep.ASK_ANOTHER:
+        if step is NextStep.TRY_ANOTHER_AGENT:
             call.further_choices += 1
             return True
         if step is NextStep.SECOND_CHOICE:
@@ -317,7 +319,7 @@
         return self._budgets.of(call.part.service, call.route.retry_budget_percent).try_take()
 
     def _backend_answered(self, call: Call, answer: CallAnswer, now: float) -> None:
-        self._quarantine.answered(call, answer.status, now)
+        self._quarantine.record_answer(call, answer.status, now)
         if not call.route.at_most_once:
             self._end(call, answer, now)
             return
@@ -360,16 +362,16 @@
     def _finish(self, call: Call, failure: Failure, now: float) -> None:
         """End a call with a failure, and its claim."""
         failure = final_failure(call, failure)
-        self._claims.failed(call, failure, now)
+        self._claims.end_failed(call, failure, now)
         self._end(call, failure, now)
 
     def _end(self, call: Call, answer: CallAnswer | Failure, now: float) -> None:
         self._log.ended(call, answer, now)
         self._calls.remove(call)
-        self._quarantine.ended(call)
+        self._quarantine.release_trial(call)
         self._limits.release(call.share)
         if call.tenant and isinstance(answer, Failure) and answer.outcome is Outcome.NOT_RUN:
-            self._tenant_limits.give_back(call.tenant, call.arrived_at, now)
+            self._tenant_limits.refund(call.tenant, call.arrived_at, now)
         if not call.caller_gone:
             seconds = now - call.arrived_at
             self._outputs.append(AnswerCall(call.number, answer, call.route.name, seconds))
--- a/src/limelever/proxy/claims.py
+++ b/src/limelever/proxy/claims.py
@@ -1,4 +1,7 @@
-"""Claims of at-most-once calls: what is claimed, and the keepers' client as the proxy uses it."""
+"""Idempotency claims of at-most-once calls, held at a majority of the keepers.
+
+A call is sent only once its claim is granted; its answer is recorded for resends of the call.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from limelever.proxy.call_types import CallAnswer, CallRequest
 from limelever.proxy.router import RouteEntry
 
-RECORDED_BODY_LIMIT = 64 * 1024
-"""Bytes of an answer's body that the keepers keep; longer bodies are not recorded."""
+RECORDED_BODY_LIMIT_BYTES = 64 * 1024
+"""Longer answer bodies are not recorded by the keepers."""
 
 TOKEN_BYTES = 16
 REPLAYED_HEADER = (b"x-limelever-replayed", b"true")
@@ -26,23 +29,23 @@
 
 
 class KeeperClient(Protocol):
-    """Claims, releases and completes at a majority of the keepers."""
+    """Client that claims, releases and completes at a majority of the keepers."""
 
     def claim(self, token: bytes, key: bytes, fingerprint: bytes, now: float) -> Sequence[Output]:
-        """Ask for the claim on ``key``; ends in one ``ClaimSettled`` with this token."""
+        """Request the claim on ``key``; ends in one ``ClaimSettled`` with this token."""
 
     def release(self, token: bytes, now: float) -> Sequence[Output]:
-        """Give the claim back: the call was not run. A token not known is ignored."""
+        """Release the claim because the call was not run. Unknown tokens are ignored."""
 
     def forget(self, token: bytes) -> None:
-        """Leave the claim as it is: the outcome of the call is not known."""
+        """Leave the claim in place because the outcome of the call is unknown."""
 
     def complete(self, token: bytes, answer: RecordedAnswer, now: float) -> Sequence[Output]:
         """Record the call's answer; ends in one ``CompletionSettled`` with this token."""
 
 
 class CallClaims:
-    """The claims of the calls in flight that may not be repeated."""
+    """Claims of the at-most-once calls in flight."""
 
     def __init__(
         self,
@@ -57,34 +60,34 @@
         self._outputs = outputs
 
     def begin(self, call: Call, now: float) -> None:
-        """Ask for the claim on a call's idempotency key."""
+        """Request the claim on a call's idempotency key."""
         call.phase = Phase.CLAIMING
         token = self._random.randbytes(TOKEN_BYTES)
         self._calls.set_token(call, token)
         key = claim_key(call.route, call.request)
-        print_of_call = fingerprint(call.request)
-        self._outputs.extend(self._keepers.claim(token, key, print_of_call, now))
+        call_fingerprint = fingerprint(call.request)
+        self._outputs.extend(self._keepers.claim(token, key, call_fingerprint, now))
 
-    def claiming(self, token: bytes) -> Call | None:
+    def waiting_for_claim(self, token: bytes) -> Call | None:
         """Return the call that waits for the claim with this token."""
         return self._in_phase(token, Phase.CLAIMING)
 
-    def completing(self, token: bytes) -> Call | None:
+    def waiting_for_completion(self, token: bytes) -> Call | None:
         """Return the call whose answer is being recorded under this token."""
         return self._in_phase(token, Phase.COMPLETING)
 
     def complete(self, call: Call, answer: CallAnswer, now: float) -> None:
-        """Record a call's answer."""
+        """Record a call's answer at the keepers."""
         call.phase = Phase.COMPLETING
         call.answer = answer
-        self._outputs.extend(self._keepers.complete(call.token, recorded(answer), now))
+        self._outputs.extend(self._keepers.complete(call.token, answer_record(answer), now))
 
     def release(self, token: bytes, now: float) -> None:
-        """Give a claim back: nothing was run under it."""
+        """Release a claim under which nothing was run."""
         self._outputs.extend(self._keepers.release(token, now))
 
-    def failed(self, call: Call, failure: Failure, now: float) -> None:
-        """End the claim of a failed call: it is given back only if no attempt may have run."""
+    def end_failed(self, call: Call, failure: Failure, now: float) -> None:
+        """End the claim of a failed call: release it only if no attempt can have run."""
         if call.token and failure.outcome is Outcome.NOT_RUN:
             self.release(call.token, now)
         elif call.token:
@@ -101,31 +104,33 @@
 
 
 def fingerprint(request: CallRequest) -> bytes:
-    """Return the digest that tells a resend from a key used for another call."""
+    """Return the digest that distinguishes a resend from the reuse of a key for another call."""
     return _digest(request.method, request.target, request.body)
 
 
-def recorded(answer: CallAnswer) -> RecordedAnswer:
-    """Return what the keepers record of an answer."""
-    kept = len(answer.body) <= RECORDED_BODY_LIMIT
+def answer_record(answer: CallAnswer) -> RecordedAnswer:
+    """Return the record of an answer that the keepers store, without a body over the limit."""
+    is_kept = len(answer.body) <= RECORDED_BODY_LIMIT_BYTES
     return RecordedAnswer(
         status=answer.status,
         headers=[Header(name=name, value=value) for name, value in answer.headers],
-        body=answer.body if kept else b"",
-        body_kept=kept,
+        body=answer.body if is_kept else b"",
+        body_kept=is_kept,
     )
 
 
-def replayed(record: RecordedAnswer) -> CallAnswer | Failure:
+def replayed_answer(record: RecordedAnswer) -> CallAnswer | Failure:
     """Return the recorded answer for a resend, or ``ANSWER_NOT_KEPT``."""
     if not record.body_kept:
-        return Failure(ErrorKind.ANSWER_NOT_KEPT, "the call ran; its answer was too long to keep")
+        return Failure(
+            ErrorKind.ANSWER_NOT_KEPT, "the call already ran, but its answer was too large to store"
+        )
     headers = tuple((header.name, header.value) for header in record.headers)
     return CallAnswer(record.status, (*headers, REPLAYED_HEADER), record.body)
 
 
 def _digest(*parts: bytes) -> bytes:
-    """Hash the parts with their lengths, so that no two different lists agree."""
+    """Hash the parts with their lengths, so that different lists have different digests."""
     hasher = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in parts:
         hasher.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
--- a/src/limelever/proxy/core.py
+++ b/src/limelever/proxy/core.py
@@ -33,7 +33,7 @@
 from limelever.protocol.endpoint_news import unpack
 from limelever.protocol.keys import Key
 from limelever.proxy import events
-from limelever.proxy.attempts import Attempts, AttemptSettings
+from limelever.proxy.attempts import AttemptDispatcher, AttemptSettings
 from limelever.proxy.balancer import Balancer, BalancerSettings
 from limelever.proxy.call_state import CallTable
 from limelever.proxy.call_types import (
@@ -51,9 +51,9 @@
 from limelever.proxy.endpoints import EndpointView
 from limelever.proxy.group_limits import GroupLimits, LimitSettings
 from limelever.proxy.health import HealthSettings
-from limelever.proxy.limit_reports import LimitReports
+from limelever.proxy.limit_usage_reporter import LimitUsageReporter
 from limelever.proxy.links import AgentLinks
-from limelever.proxy.quarantine import CrashNewsFound, Quarantine
+from limelever.proxy.quarantine import Quarantine, SendCrashNews
 from limelever.proxy.route_table import advance_route_table, build_route_table
 from limelever.proxy.router import RouteTable
 from limelever.proxy.tenant_limits import TenantLimits
@@ -115,7 +115,7 @@
         )
         self._keepers = KeeperClientCore(settings.keepers, connections, random_source)
         self._tenant_limits = TenantLimits(settings.tenant_limits, random_source)
-        self._limit_reports = LimitReports(self._tenant_limits, self._subscriber)
+        self._limit_reports = LimitUsageReporter(self._tenant_limits, self._subscriber)
         self._table: RouteTable | None = None
         self._missed_change = False
         self._view = EndpointView()
@@ -123,7 +123,7 @@
         self._balancer = Balancer(settings.balancer, settings.health, random_source)
         self._links = AgentLinks(connections, random_source)
         self._calls = CallTable()
-        attempts = Attempts(
+        attempts = AttemptDispatcher(
             settings.attempts,
             self._calls,
             self._view,
@@ -157,7 +157,7 @@
             LoadsReceived: self._take_loads,
             CrashNewsReceived: self._take_crash_news,
             LimitNewsReceived: self._take_limit_news,
-            CrashNewsFound: self._tell_crash_news,
+            SendCrashNews: self._tell_crash_news,
             ClaimSettled: self._settle_claim,
             CompletionSettled: self._settle_completion,
         }
@@ -196,7 +196,7 @@
                 self._deadline_reached(event, now)
             case _:
                 self._link_event(event, now)
-                self._outputs.extend(self._limit_reports.due(now))
+                self._outputs.extend(self._limit_reports.poll(now))
         return self._take_outputs(now)
 
     def next_deadline(self) -> float | None:
@@ -234,7 +234,7 @@
         self._engine.wake(now)
         self._outputs.extend(self._keepers.tick(now))
         self._outputs.extend(self._subscriber.handle(event, now))
-        self._outputs.extend(self._limit_reports.due(now))
+        self._outputs.extend(self._limit_reports.poll(now))
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL
             busy = self._calls.busy_connections()
@@ -319,23 +319,23 @@
     def _merge_endpoints(self, received: EndpointsReceived, now: float) -> None:
         self._view.apply(received.update, now)
         self._engine.share_budgets_between(len(self._view.keys()))
-        self._tenant_limits.nodes_known(len(self._view.keys()))
+        self._tenant_limits.set_node_count(len(self._view.keys()))
 
     def _take_loads(self, received: LoadsReceived, now: float) -> None:
         for told in unpack(received.update):
             key = self._view.by_hash(told.number)
             if key is not None:
                 self._balancer.observe_zone_load(key, told.news.load, now)
-                self._balancer.observe_pace(key, told.news.pace_permille, now)
+                self._balancer.observe_slowdown(key, told.news.pace_permille, now)
 
     def _take_crash_news(self, received: CrashNewsReceived, now: float) -> None:
-        if self._quarantine.take(received.news, now):
+        if self._quarantine.apply_news(received.news, now):
             self._engine.give_back_quarantined(now)
 
     def _take_limit_news(self, received: LimitNewsReceived, now: float) -> None:
-        self._tenant_limits.take_news(received.news, now)
+        self._tenant_limits.apply_news(received.news, now)
 
-    def _tell_crash_news(self, found: CrashNewsFound, _now: float) -> None:
+    def _tell_crash_news(self, found: SendCrashNews, _now: float) -> None:
         self._outputs.extend(self._subscriber.send_up(found.news))
 
     def _settle_claim(self, settled: ClaimSettled, now: float) -> None:
--- a/src/limelever/proxy/endpoints.py
+++ b/src/limelever/proxy/endpoints.py
@@ -1,11 +1,11 @@
 """The proxy's view of the endpoints of the services in its scope.
 
-Relays tell of endpoints with updates that may be late, doubled or incomplete. The newer
-(incarnation, sequence) wins; an incarnation that once drained never takes work again, however
-old that news is; and the view is kept when no relay answers. That an endpoint is gone is not for
-ever: a relay that hears nothing ends leases of agents that live on at another relay, whose newer
-news brings them back. An endpoint that a full update no longer names stays usable for a grace
-period, because a relay that just restarted knows only the agents that have come back to it so far.
+It is merged from relays' updates, which may be late, duplicated or incomplete, and is kept while no
+relay answers. The highest (incarnation, sequence) wins. An incarnation that was reported as
+draining never takes work again, however old that report is. A removed endpoint returns with a
+higher revision, because a relay may end the lease of an agent that is still registered at another
+relay. An endpoint missing from a full update stays usable for a grace period, because a relay that
+has just restarted knows only the agents that have reconnected so far.
 """
 
 from __future__ import annotations
@@ -29,26 +29,24 @@
 
 ValueT = TypeVar("ValueT")
 
-UNLISTED_GRACE = 10.0
-"""Seconds for which an endpoint missing from a full update is still used."""
+UNLISTED_GRACE_SECONDS = 10.0
+"""How long an endpoint that is missing from a full update is still used."""
 
-RETIRED_LIMIT = 4096
-"""Retired incarnations remembered, so that late news cannot revive them; the oldest go first.
+REMEMBERED_ENDPOINTS_LIMIT = 4096
+"""Retired incarnations, and removed endpoints, that are remembered so that late updates do not
+revive them; the oldest are dropped first."""
 
-As many endpoints that are gone are remembered, with the age of that news.
-"""
-
-NEVER = (-1, -1)
-"""An age older than all news."""
+BEFORE_ANY_REVISION = (-1, -1)
+"""A revision lower than any reported one."""
 
-ALWAYS_WARM = -math.inf
-"""``cold_since`` of an endpoint that was there before this proxy knew its table."""
+ALREADY_WARM = -math.inf
+"""``cold_since`` of endpoints that existed before this proxy started."""
 
 
 class EndpointKey(NamedTuple):
-    """Names one back end instance of a service.
+    """Identifies one back end instance of a service.
 
-    A named tuple, as its hash is taken several times for each call that is balanced.
+    A named tuple, because its hash is computed several times for each call.
     """
 
     service: str
@@ -56,11 +54,11 @@
 
 
 class EndpointEntry(Struct, frozen=True):
-    """What the proxy knows of one endpoint.
+    """State of one endpoint; times in seconds.
 
-    ``version`` is of the back end's software, empty where not known. ``cold_since`` is when this
-    incarnation was first seen (seconds), ``reported_load`` the calls a relay told of at
-    ``reported_at``, ``unlisted_since`` the time of the full update that first left it out.
+    ``version`` is the version of the back end's software, empty if unknown. ``cold_since`` is when
+    this incarnation was first seen. ``reported_load`` is the number of calls that a relay reported
+    at ``reported_at``. ``unlisted_since`` is when a full update first omitted the endpoint.
     """
 
     key: EndpointKey
@@ -78,22 +76,22 @@
 
 
 class _Usable(Struct):
-    """Cached usable endpoints of a service, valid until ``until`` (seconds)."""
+    """Cached usable endpoints of a service; ``valid_until`` in seconds."""
 
     entries: tuple[EndpointEntry, ...]
-    until: float
+    valid_until: float
 
 
 class EndpointView:
-    """Endpoints by service, merged from relays' updates and the agents' own answers."""
+    """Endpoints by service, merged from relays' updates and agents' answers."""
 
     def __init__(self) -> None:
         self._services: dict[str, dict[str, EndpointEntry]] = {}
         self._retired: OrderedDict[EndpointKey, int] = OrderedDict()
-        self._gone: OrderedDict[EndpointKey, tuple[int, int]] = OrderedDict()
+        self._removed: OrderedDict[EndpointKey, tuple[int, int]] = OrderedDict()
         self._usable: dict[str, _Usable] = {}
         self._by_hash: dict[int, EndpointKey] = {}
-        self._seeded = False
+        self._is_seeded = False
 
     def apply(self, update: EndpointUpdate, now: float) -> None:
         """Merge an update that arrived at ``now`` (seconds)."""
@@ -101,21 +99,22 @@
             self._merge(endpoint, now)
         if update.full:
             self._mark_unlisted(update.endpoints, now)
-            self._seeded = self._seeded or bool(update.endpoints)
+            self._is_seeded = self._is_seeded or bool(update.endpoints)
 
     def usable(self, service: str, now: float) -> tuple[EndpointEntry, ...]:
         """Return the endpoints of ``service`` that may take new work at ``now``.
 
-        Endpoints left out of a full update come after their grace only if there is no other.
+        Endpoints missing from a full update for longer than the grace period are returned only if
+        there are no others.
         """
         cached = self._usable.get(service)
-        if cached is None or now >= cached.until:
+        if cached is None or now >= cached.valid_until:
             cached = self._compute_usable(service, now)
             self._usable[service] = cached
         return cached.entries
 
     def retire(self, key: EndpointKey, incarnation: int) -> bool:
-        """Take no more work to this incarnation; return whether that is news."""
+        """Send no more work to this incarnation; return whether it was still in use."""
         if self._retired.get(key, -1) >= incarnation:
             return False
         _remember(self._retired, key, incarnation)
@@ -124,12 +123,12 @@
             self._store(replace(entry, draining=True))
         return True
 
-    def by_hash(self, number: int) -> EndpointKey | None:
-        """Return the endpoint whose load is told under this number, if it is known."""
-        return self._by_hash.get(number)
+    def by_hash(self, hash_value: int) -> EndpointKey | None:
+        """Return the endpoint with this hash, if it is known."""
+        return self._by_hash.get(hash_value)
 
     def addresses(self) -> frozenset[Address]:
-        """Return the addresses of all known endpoints, leaving ones included."""
+        """Return the addresses of all known endpoints, including draining ones."""
         return frozenset(
             entry.address for entries in self._services.values() for entry in entries.values()
         )
@@ -142,27 +141,27 @@
 
     def _merge(self, endpoint: Endpoint, now: float) -> None:
         key = EndpointKey(endpoint.service, endpoint.instance)
-        held = self._services.get(key.service, {}).get(key.instance)
+        known = self._services.get(key.service, {}).get(key.instance)
         if endpoint.state == ENDPOINT_STATE_DRAINING:
             self.retire(key, endpoint.incarnation)
-        age = (endpoint.incarnation, endpoint.sequence)
-        if held is not None and age < (held.incarnation, held.sequence):
+        revision = (endpoint.incarnation, endpoint.sequence)
+        if known is not None and revision < (known.incarnation, known.sequence):
             return
-        gone_at = self._gone.get(key, NEVER)
+        removed_revision = self._removed.get(key, BEFORE_ANY_REVISION)
         if endpoint.state == ENDPOINT_STATE_GONE:
-            _remember(self._gone, key, max(gone_at, age))
+            _remember(self._removed, key, max(removed_revision, revision))
             self._remove(key)
             return
-        if age <= gone_at:
+        if revision <= removed_revision:
             return
-        self._store(self._entry(endpoint, key, held, now))
+        self._store(self._entry(endpoint, key, known, now))
 
     def _entry(
-        self, endpoint: Endpoint, key: EndpointKey, held: EndpointEntry | None, now: float
+        self, endpoint: Endpoint, key: EndpointKey, known: EndpointEntry | None, now: float
     ) -> EndpointEntry:
-        cold_since = now if self._seeded else ALWAYS_WARM
-        if held is not None and held.incarnation == endpoint.incarnation:
-            cold_since = held.cold_since
+        cold_since = now if self._is_seeded else ALREADY_WARM
+        if known is not None and known.incarnation == endpoint.incarnation:
+            cold_since = known.cold_since
         retired = self._retired.get(key, -1) >= endpoint.incarnation
         return EndpointEntry(
             key=key,
@@ -186,11 +185,11 @@
                     self._store(replace(entry, unlisted_since=now))
 
     def _compute_usable(self, service: str, now: float) -> _Usable:
-        ready = [e for e in self._services.get(service, {}).values() if not e.draining]
-        in_grace = [e for e in ready if _grace_end(e) > now]
-        if not in_grace:
-            return _Usable(tuple(ready), math.inf)
-        return _Usable(tuple(in_grace), min(_grace_end(entry) for entry in in_grace))
+        accepting = [e for e in self._services.get(service, {}).values() if not e.draining]
+        preferred = [e for e in accepting if _grace_end(e) > now]
+        if not preferred:
+            return _Usable(tuple(accepting), math.inf)
+        return _Usable(tuple(preferred), min(_grace_end(entry) for entry in preferred))
 
     def _store(self, entry: EndpointEntry) -> None:
         key = entry.key
@@ -205,14 +204,14 @@
 
 
 def _remember(memory: OrderedDict[EndpointKey, ValueT], key: EndpointKey, value: ValueT) -> None:
-    """Note a value for ``key`` and drop the oldest past the limit."""
+    """Store a value for ``key`` and drop the oldest entries beyond the limit."""
     memory[key] = value
     memory.move_to_end(key)
-    while len(memory) > RETIRED_LIMIT:
+    while len(memory) > REMEMBERED_ENDPOINTS_LIMIT:
         memory.popitem(last=False)
 
 
 def _grace_end(entry: EndpointEntry) -> float:
     if entry.unlisted_since is None:
         return math.inf
-    return entry.unlisted_since + UNLISTED_GRACE
+    return entry.unlisted_since + UNLISTED_GRACE_SECONDS
--- a/src/limelever/proxy/prior_waits.py
+++ b/src/limelever/proxy/prior_waits.py
@@ -1,13 +1,12 @@
-"""How long callers had waited for an answer before they asked here.
+"""Estimates how long callers had already waited before a request, from the timeouts they send.
 
-A caller that comes back after a refusal names the time it still waits: less than it named at
-first. What most callers of a route name is taken as what a fresh one does; who names less has
-waited for the difference. Where callers differ in patience, what lies above a gap is what fresh
-ones name, see ``named_times``. The target of a call counts from its caller's first request, so it
-may be past already: then the call takes what room the fresh ones leave, since their answers can
-still come in time.
+A caller that retries after a refusal sends a timeout that is shorter by the time it has already
+waited. The most common timeout of a route is taken as that of first attempts, and a shorter one as
+that of a retry. If callers' timeouts differ, those above a gap in the distribution are taken as
+first attempts, see ``named_times``. If neither is found, no call counts as a retry.
 
-Where callers name times of all sizes nothing is known, and all count as fresh.
+The latency target of a call counts from its caller's first attempt. A retry may therefore have
+missed it already, and gives way to first attempts, which can still meet theirs.
 """
 
 from __future__ import annotations
@@ -16,97 +15,104 @@
 
 from limelever.proxy.named_times import FreshTimes, fresh_times
 
-SAMPLES_PER_GENERATION = 256
-"""Calls of a route after which what was counted weighs half; some seconds of a busy route."""
+SAMPLES_PER_HALVING = 256
+"""Calls of a route after which all counts are halved, so that old ones fade."""
 
-LEAST_SAMPLES = 16
-"""Calls of a route before anything is concluded."""
+MIN_SAMPLES = 16
+"""Calls of a route before its timeouts are evaluated."""
 
-LEAST_USUAL_PART = 0.25
-"""Part of the calls that must name one time; below it there is no usual one."""
+MIN_MODE_FRACTION = 0.25
+"""Fraction of the calls that must send the same timeout for it to count as the common one."""
 
-LEAST_SAMPLES_OF_BAND = 64
-"""Calls of a route before a gap between its callers' times is looked for."""
+MIN_GAP_SAMPLES = 64
+"""Calls of a route before a gap in the distribution is searched for."""
 
-SAMPLES_PER_LOOK = 16
-"""Calls of a route between two such looks."""
+SAMPLES_PER_GAP_SEARCH = 16
+"""Calls of a route between two searches for a gap."""
 
 _MILLISECONDS = 1000
 
 
-class _Named:
-    """The times that a route's callers named of late, in milliseconds."""
+class _TimeoutHistogram:
+    """Recent timeouts of a route's callers in milliseconds; ``mode`` is the most common one."""
 
-    __slots__ = ("_counts", "_fresh", "_look_at", "_since_halved", "_total", "usual")
+    __slots__ = (
+        "_counts",
+        "_first_attempts",
+        "_next_gap_search",
+        "_since_halved",
+        "_total",
+        "mode",
+    )
 
     def __init__(self) -> None:
-        self.usual = 0
+        self.mode = 0
         self._counts: Counter[int] = Counter()
         self._total = 0
         self._since_halved = 0
-        self._look_at = LEAST_SAMPLES_OF_BAND
-        self._fresh: FreshTimes | None = None
+        self._next_gap_search = MIN_GAP_SAMPLES
+        self._first_attempts: FreshTimes | None = None
 
     def add(self, milliseconds: int) -> None:
         count = self._counts[milliseconds] = self._counts[milliseconds] + 1
         self._total += 1
         self._since_halved += 1
-        if self._since_halved >= SAMPLES_PER_GENERATION:
+        if self._since_halved >= SAMPLES_PER_HALVING:
             self._halve()
-        elif milliseconds != self.usual and count > self._counts[self.usual]:
-            self.usual = milliseconds
-
-    def waited(self, milliseconds: int) -> float:
-        """Return how much less a caller names than a fresh one, 0 where that is not known."""
-        if self._one_is_usual:
-            return max(0, self.usual - milliseconds)
-        fresh = self._look()
-        if fresh is None or milliseconds >= fresh.least:
+        elif milliseconds != self.mode and count > self._counts[self.mode]:
+            self.mode = milliseconds
+
+    def prior_wait(self, milliseconds: int) -> float:
+        """Return how much shorter a timeout is than that of first attempts, 0 if unknown."""
+        if self._has_mode:
+            return max(0, self.mode - milliseconds)
+        first_attempts = self._first_attempt_timeouts()
+        if first_attempts is None or milliseconds >= first_attempts.least:
             return 0.0
-        return fresh.mean - milliseconds
+        return first_attempts.mean - milliseconds
 
     @property
-    def _one_is_usual(self) -> bool:
-        if self._total < LEAST_SAMPLES:
+    def _has_mode(self) -> bool:
+        if self._total < MIN_SAMPLES:
             return False
-        return self._counts[self.usual] >= self._total * LEAST_USUAL_PART
+        return self._counts[self.mode] >= self._total * MIN_MODE_FRACTION
 
-    def _look(self) -> FreshTimes | None:
-        if self._total >= self._look_at:
-            self._look_at = self._total + SAMPLES_PER_LOOK
-            self._fresh = fresh_times(self._counts, LEAST_USUAL_PART)
-        return self._fresh
+    def _first_attempt_timeouts(self) -> FreshTimes | None:
+        if self._total >= self._next_gap_search:
+            self._next_gap_search = self._total + SAMPLES_PER_GAP_SEARCH
+            self._first_attempts = fresh_times(self._counts, MIN_MODE_FRACTION)
+        return self._first_attempts
 
     def _halve(self) -> None:
         self._since_halved = 0
-        halved = {named: count // 2 for named, count in self._counts.items() if count > 1}
+        halved = {timeout: count // 2 for timeout, count in self._counts.items() if count > 1}
         self._counts = Counter(halved)
         self._total = sum(halved.values())
-        self._look_at = max(LEAST_SAMPLES_OF_BAND, self._total)
-        self.usual = max(halved, key=halved.__getitem__, default=0)
+        self._next_gap_search = max(MIN_GAP_SAMPLES, self._total)
+        self.mode = max(halved, key=halved.__getitem__, default=0)
 
 
-class PriorWaits:
-    """What is known of each route's callers."""
+class PriorWaitEstimator:
+    """Prior waits of callers, estimated separately for each route."""
 
     def __init__(self) -> None:
-        self._by_route: dict[str, _Named] = {}
+        self._by_route: dict[str, _TimeoutHistogram] = {}
 
-    def waited(self, route: str, named: float) -> float:
-        """Count a call whose caller waits for ``named`` more seconds (0: it didn't say).
+    def observe(self, route: str, timeout: float) -> float:
+        """Record a call's timeout in seconds, 0 for none; return its estimated prior wait.
 
-        Returns how many seconds it had waited before, 0 when that is not known.
+        The estimate is 0 if it cannot be determined.
         """
-        if named <= 0:
+        if timeout <= 0:
             return 0.0
-        milliseconds = round(named * _MILLISECONDS)
-        known = self._by_route.get(route)
-        if known is None:
-            known = self._by_route[route] = _Named()
-        known.add(milliseconds)
-        return known.waited(milliseconds) / _MILLISECONDS
+        milliseconds = round(timeout * _MILLISECONDS)
+        histogram = self._by_route.get(route)
+        if histogram is None:
+            histogram = self._by_route[route] = _TimeoutHistogram()
+        histogram.add(milliseconds)
+        return histogram.prior_wait(milliseconds) / _MILLISECONDS
 
     def keep_only(self, routes: frozenset[str]) -> None:
-        """Forget routes that are gone."""
+        """Drop all routes but these."""
         for name in self._by_route.keys() - routes:
             del self._by_route[name]
--- a/src/limelever/proxy/process.py
+++ b/src/limelever/proxy/process.py
@@ -16,6 +16,7 @@
 from limelever.keeper.settings import KeeperClientSettings
 from limelever.proxy import events
 from limelever.proxy.admission import AdmissionSettings
+from limelever.proxy.api_key_auth import ApiKeyHeader
 from limelever.proxy.attempts import AttemptSettings
 from limelever.proxy.balancer import BalancerSettings
 from limelever.proxy.call_types import (
@@ -26,7 +27,6 @@
     StopLimitReached,
     StopRequested,
 )
-from limelever.proxy.caller_keys import KeyHeader
 from limelever.proxy.calls import CallSettings
 from limelever.proxy.core import ProxyCore, ProxyCoreSettings
 from limelever.proxy.edge import Edge
@@ -89,8 +89,8 @@
             key_header=settings.headers.names().authorization,
         ),
         limits=LimitSettings(
-            total=settings.calls.in_flight,
-            near=settings.calls.share_from_percent / _PERCENT,
+            max_in_flight=settings.calls.in_flight,
+            share_from=settings.calls.share_from_percent / _PERCENT,
             retry_after=seconds(settings.calls.retry_after_ms),
         ),
         tenant_limits=settings.limits.rules(),
@@ -118,12 +118,12 @@
             default_timeout=seconds(calls.default_timeout_ms),
             stale_after=seconds(settings.configuration.stale_after_ms),
             revoked_after=seconds(settings.tenants.revoked_after_ms),
-            key_header=KeyHeader(names.authorization, names.key_scheme),
+            key_header=ApiKeyHeader(names.authorization, names.key_scheme),
         ),
         retry=RetrySettings(
             attempts=calls.attempts,
             redirects=calls.redirects,
-            fleet_saved=calls.fleet_saved_retries,
+            fleet_saved_retries=calls.fleet_saved_retries,
             second_choice_percent=calls.second_choice_percent,
         ),
         completion_wait=seconds(calls.completion_wait_ms),
--- a/src/limelever/proxy/quarantine.py
+++ b/src/limelever/proxy/quarantine.py
@@ -1,7 +1,7 @@
-"""Keeps requests from back ends under which others have ended, and clears those that are answered.
+"""Quarantines requests that crash back ends, and releases those that are answered.
 
-Nothing is computed for a call until some back end has ended under one. From then on each call
-costs a digest of its head, and one of its body if a request with the same head is known.
+Requests are identified by digest. Nothing is computed until the first crash is known; from then on
+each call costs a digest of its head, and one of its body if a request with the same head is known.
 """
 
 from __future__ import annotations
@@ -22,42 +22,43 @@
 )
 from limelever.quarantine.terms import quarantine_time
 
-CRASHES_OF_ONE_CALL = 2
-"""A request under which so many back ends have ended gets no second try within a call: the next
-coming decides. After the first a second try serves whoever merely shared the back end."""
+MAX_CRASHES_PER_CALL = 2
+"""Crashes of a request in a row after which a call is not retried. One retry is allowed, because
+the request may merely have shared a back end with the one that crashed it."""
 
-_FIRST_FAILED_STATUS = 500
+_MIN_SERVER_ERROR_STATUS = 500
 
 
-class CrashNewsFound(Output, frozen=True):
-    """News for the relay, which passes them on."""
+class SendCrashNews(Output, frozen=True):
+    """Crash news to send to the relay, which distributes them."""
 
     news: CrashNews
 
 
 class Quarantine:
-    """What one proxy does with the evidence; times in seconds.
+    """Quarantine decisions of one proxy; times in seconds.
 
-    Proxies release a request at times of their own, drawn from once to twice its quarantine, and
-    try it with one call at a time: the first to do so tells the others how it ended.
+    Each proxy lets a quarantined request through again after a random time of one to two quarantine
+    periods, with one trial call at a time. The proxy that is first reports the outcome to the
+    others.
     """
 
     def __init__(self, random_source: random.Random, outputs: list[Output]) -> None:
         self._evidence = Evidence()
         self._random = random_source
         self._outputs = outputs
-        self._released_at: dict[tuple[int, int], float] = {}
+        self._trial_times: dict[tuple[int, int], float] = {}
         self._trials: dict[int, int] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing is known, so that calls need not be looked at."""
+        """Return whether no suspicious requests are known, so that calls need no check."""
         return not len(self._evidence)
 
     def refusal(self, call: Call, now: float) -> Failure | None:
-        """Return why a call must not reach a back end now, or ``None`` where it may.
+        """Return why a call must not reach a back end now, or ``None`` if it may.
 
-        A call that may go on though its request is convicted is the one trial of its time.
+        A call of a convicted request that may proceed becomes the request's only trial.
         """
         suspicion = self._suspicion(call)
         if suspicion is None or not suspicion.convicted:
@@ -65,27 +66,27 @@
         request = suspicion.fingerprint.request
         if request in call.part.released_requests:
             return None
-        left = self._release_of(suspicion) - now
-        if left <= 0 and self._trials.setdefault(request, call.number) == call.number:
+        remaining = self._trial_time(suspicion) - now
+        if remaining <= 0 and self._trials.setdefault(request, call.number) == call.number:
             return None
-        reason = f"back ends have ended under this request {suspicion.standing} times in a row"
-        retry_after = max(left, quarantine_time(suspicion.standing) / 2)
+        reason = f"{suspicion.standing} back ends in a row crashed while handling this request"
+        retry_after = max(remaining, quarantine_time(suspicion.standing) / 2)
         return Failure(ErrorKind.QUARANTINED, reason, retry_after=retry_after)
 
-    def may_try_again(self, call: Call) -> bool:
-        """Return whether a call whose back end has ended may go to another one."""
+    def may_retry(self, call: Call) -> bool:
+        """Return whether a call whose back end crashed may be sent to another one."""
         suspicion = self._suspicion(call)
-        return suspicion is None or suspicion.standing < CRASHES_OF_ONE_CALL
+        return suspicion is None or suspicion.standing < MAX_CRASHES_PER_CALL
 
     def known_depth(self, call: Call) -> int:
-        """Return how often in a row back ends are known to have ended under a call's request."""
+        """Return how many back ends in a row are known to have crashed on a call's request."""
         suspicion = self._suspicion(call)
         return 0 if suspicion is None else suspicion.standing
 
-    def crashed(self, ended: AttemptEnded, now: float) -> bool:
-        """Take the end of a back end under a call of this proxy's own.
+    def record_crash(self, ended: AttemptEnded, now: float) -> bool:
+        """Record that a back end crashed while handling a call of this proxy.
 
-        Return whether the call's request is convicted, and that is news.
+        Return whether this newly convicts the call's request.
         """
         request = ended.call.request
         service = ended.call.part.service
@@ -94,53 +95,54 @@
         changed = self._evidence.crashed((suspected,), ended.crash, now)
         if not changed:
             return False
-        self._outputs.append(CrashNewsFound(self._evidence.news(changed, now)))
+        self._outputs.append(SendCrashNews(self._evidence.news(changed, now)))
         return self._log_changes(changed, {})
 
-    def answered(self, call: Call, status: int, now: float) -> None:
-        """Take a back end's answer: its process went on, so that nothing counts against the call.
+    def record_answer(self, call: Call, status: int, now: float) -> None:
+        """Clear a call's request after a back end answered it, because its process survived.
 
-        A failure, such as one at the call's deadline, may have come before the end.
+        A server error, such as one at the call's deadline, may have been sent before a crash and
+        clears nothing.
         """
-        if status >= _FIRST_FAILED_STATUS:
+        if status >= _MIN_SERVER_ERROR_STATUS:
             return
         suspicion = self._suspicion(call)
         if suspicion is None:
             return
         was_convicted, request = suspicion.convicted, suspicion.fingerprint.request
         if self._evidence.clear(request):
-            self._outputs.append(CrashNewsFound(self._evidence.news((request,), now)))
+            self._outputs.append(SendCrashNews(self._evidence.news((request,), now)))
             if was_convicted:
                 self._log_cleared(request)
 
-    def ended(self, call: Call) -> None:
-        """Take the end of a call: another trial of its request may follow."""
+    def release_trial(self, call: Call) -> None:
+        """Allow another trial of a call's request after the call has ended."""
         if not self._trials:
             return
         for request in [key for key, number in self._trials.items() if number == call.number]:
             del self._trials[request]
 
-    def take(self, news: CrashNews, now: float) -> bool:
-        """Take news of a relay; return whether there are convicted requests among them.
+    def apply_news(self, news: CrashNews, now: float) -> bool:
+        """Merge crash news from a relay; return whether it convicts any request.
 
-        A relay that tells all it knows is told what it lacks: it may have just started.
+        A relay that sends full news may have just restarted, so it is sent what it lacks.
         """
         if news.full:
             missing = self._evidence.missing_in(news)
             if missing:
-                self._outputs.append(CrashNewsFound(self._evidence.news(missing, now)))
+                self._outputs.append(SendCrashNews(self._evidence.news(missing, now)))
         before = {each.request: self._is_convicted(each.request) for each in news.suspects}
         changed = self._evidence.take(news, now)
         return self._log_changes(changed, before)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old."""
-        over = set(self._evidence.expire(now))
-        for key in [key for key in self._released_at if key[0] in over]:
-            del self._released_at[key]
+        """Drop outdated evidence."""
+        expired = set(self._evidence.expire(now))
+        for key in [key for key in self._trial_times if key[0] in expired]:
+            del self._trial_times[key]
 
     def _suspicion(self, call: Call) -> Suspicion | None:
-        """Return what is known of a call's request; its body counts only for a known head."""
+        """Return what is known of a call's request; its body is hashed only for a known head."""
         if self.is_empty:
             return None
         request = call.request
@@ -154,18 +156,18 @@
         held = self._evidence.of(request)
         return held is not None and held.convicted
 
-    def _release_of(self, suspicion: Suspicion) -> float:
-        """Return when this proxy may try a convicted request, drawn once for each number."""
+    def _trial_time(self, suspicion: Suspicion) -> float:
+        """Return when this proxy may try a convicted request, drawn once per number of crashes."""
         key = (suspicion.fingerprint.request, suspicion.standing)
-        if key not in self._released_at:
-            spread = 1.0 + self._random.random()
-            self._released_at[key] = (
-                suspicion.crashed_at + quarantine_time(suspicion.standing) * spread
+        if key not in self._trial_times:
+            factor = 1.0 + self._random.random()
+            self._trial_times[key] = (
+                suspicion.crashed_at + quarantine_time(suspicion.standing) * factor
             )
-        return self._released_at[key]
+        return self._trial_times[key]
 
     def _log_changes(self, changed: list[int], before: dict[int, bool]) -> bool:
-        """Log what turned out convicted or cleared; return whether something is convicted."""
+        """Log newly convicted or cleared requests; return whether any is convicted."""
         convicted = False
         for request in changed:
             held = self._evidence.of(request)
--- a/src/limelever/proxy/ranks.py
+++ b/src/limelever/proxy/ranks.py
@@ -1,7 +1,6 @@
-"""The rank of a call at its back end: by its tenant's priority first, by its route's within that.
+"""Ranks calls in a back end's queue: by tenant priority first, then by route priority.
 
-Answers callers of several priorities that compete for the slots of one back end: what a tenant of
-less priority sends stands behind all that the more urgent ones send, on whichever routes.
+All calls of a less urgent tenant rank behind those of more urgent ones, whatever their routes.
 """
 
 from __future__ import annotations
@@ -11,13 +10,14 @@
 from msgspec import Struct
 
 NO_RANK = 0
-"""Of calls that are queued by their caller's group, not by any priority."""
+"""Rank of calls that are queued by their caller's group instead of by priority."""
 
 
 class Ranks(Struct, frozen=True):
-    """What ranks depend on: the least urgent priority of any route, and the tenants' priorities.
+    """Parameters of the ranking in a configuration.
 
-    ``most_urgent`` and ``least_urgent`` are the ends of the tenants' priorities, 0 for none.
+    ``largest_route_priority`` is the least urgent priority of any route. ``most_urgent`` and
+    ``least_urgent`` are the bounds of the tenants' priorities, 0 for none.
     """
 
     largest_route_priority: int = 0
@@ -26,7 +26,7 @@
 
     @classmethod
     def of(cls, largest_route_priority: int, tenant_priorities: Iterable[int]) -> Ranks:
-        """Return the ranks of a configuration."""
+        """Return the ranking for the priorities of a configuration."""
         priorities = sorted(tenant_priorities)
         if not priorities:
             return cls(largest_route_priority)
@@ -35,11 +35,13 @@
     def rank(self, route_priority: int, tenant_priority: int) -> int:
         """Return the rank of a call, 1 for the most urgent, ``NO_RANK`` for none.
 
-        Tenants of one priority leave the routes' order as it is, and so does a call without a
-        tenant or whose tenant has no priority. Where priorities differ, routes without one come
-        after the others of the same tenant.
+        The route's priority alone decides if all tenants have the same priority, or if the call has
+        no tenant or a tenant without one. Otherwise routes without a priority rank last within
+        their tenant.
         """
         if not tenant_priority or self.most_urgent == self.least_urgent:
             return route_priority
-        span = self.largest_route_priority + 1
-        return (route_priority or span) + span * (tenant_priority - self.most_urgent)
+        ranks_per_tenant = self.largest_route_priority + 1
+        return (route_priority or ranks_per_tenant) + ranks_per_tenant * (
+            tenant_priority - self.most_urgent
+        )
--- a/src/limelever/proxy/retry_budget.py
+++ b/src/limelever/proxy/retry_budget.py
@@ -1,8 +1,7 @@
-"""A budget that keeps retries under a fraction of the fresh calls.
+"""Retry budgets, which keep retries below a percentage of the calls.
 
-Under overload every retry adds load, so the budget is earned by fresh calls alone: at any time
-the retries taken are at most ``percent`` of the fresh calls seen, and a few that were saved up.
-Where the fleet shares what may be saved up, each proxy saves its part by the number of nodes.
+Only first attempts earn budget, so that retries cannot amplify an overload. A limited number of
+retries can be saved up for a burst; a fleet-wide limit is divided by the number of nodes.
 """
 
 from __future__ import annotations
@@ -10,26 +9,26 @@
 from msgspec import Struct
 
 DEFAULT_PERCENT = 10
-"""Retries as a part of fresh calls, in percent, where the route names none."""
+"""Retries in percent of the calls, if the route does not specify it."""
 
 _RETRY_COST = 100
-_SAVED_RETRIES_LIMIT = 20
+_DEFAULT_SAVED_RETRIES = 20
 
 
 class RetryBudget(Struct):
-    """Tokens in hundredths of a retry; at most a few retries are saved up for a burst."""
+    """Token bucket in hundredths of a retry; holds at most ``saved_retries_limit`` retries."""
 
     percent: int = DEFAULT_PERCENT
-    saved_limit: int = _SAVED_RETRIES_LIMIT
+    saved_retries_limit: int = _DEFAULT_SAVED_RETRIES
     _balance: int = 0
 
     def record_fresh_call(self) -> None:
-        """Earn the part of a retry that one fresh call allows."""
-        limit = self.saved_limit * _RETRY_COST
+        """Earn the fraction of a retry that one call allows."""
+        limit = self.saved_retries_limit * _RETRY_COST
         self._balance = min(limit, self._balance + self.percent)
 
     def try_take(self) -> bool:
-        """Spend one retry; return ``False`` when the budget does not hold it."""
+        """Spend one retry; return ``False`` if the budget does not cover it."""
         if self._balance < _RETRY_COST:
             return False
         self._balance -= _RETRY_COST
@@ -37,32 +36,33 @@
 
 
 class RetryBudgets:
-    """One budget a service, kept over changes of the configuration.
+    """Retry budgets by service, kept across configuration changes.
 
-    ``fleet_saved`` is what all proxies together may save up; 0 leaves each its own.
+    ``fleet_saved_retries`` is how many retries all proxies together may save up; with 0 each proxy
+    has its own default.
     """
 
-    def __init__(self, fleet_saved: int = 0) -> None:
-        self._fleet_saved = fleet_saved
-        self._saved_limit = _SAVED_RETRIES_LIMIT
+    def __init__(self, fleet_saved_retries: int = 0) -> None:
+        self._fleet_saved_retries = fleet_saved_retries
+        self._saved_retries_limit = _DEFAULT_SAVED_RETRIES
         self._by_service: dict[str, RetryBudget] = {}
 
-    def share_between(self, nodes: int) -> None:
-        """Take the number of nodes that share what the fleet may save up."""
-        if self._fleet_saved:
-            self._saved_limit = max(1, self._fleet_saved // max(1, nodes))
+    def set_node_count(self, nodes: int) -> None:
+        """Set the number of nodes that share the fleet's saved retries."""
+        if self._fleet_saved_retries:
+            self._saved_retries_limit = max(1, self._fleet_saved_retries // max(1, nodes))
 
     def of(self, service: str, percent: int) -> RetryBudget:
         """Return the budget of ``service``; 0 percent stands for the default."""
-        wanted = percent or DEFAULT_PERCENT
+        effective_percent = percent or DEFAULT_PERCENT
         budget = self._by_service.get(service)
         if budget is None:
-            budget = self._by_service[service] = RetryBudget(wanted)
-        budget.percent = wanted
-        budget.saved_limit = self._saved_limit
+            budget = self._by_service[service] = RetryBudget(effective_percent)
+        budget.percent = effective_percent
+        budget.saved_retries_limit = self._saved_retries_limit
         return budget
 
     def keep_only(self, services: frozenset[str]) -> None:
-        """Drop the budgets of services that are gone."""
+        """Drop the budgets of all services but these."""
         for name in self._by_service.keys() - services:
             del self._by_service[name]
--- a/src/limelever/proxy/retry_rules.py
+++ b/src/limelever/proxy/retry_rules.py
@@ -1,4 +1,4 @@
-"""Which failed attempts may be followed by another one, and what a caller is told at the end."""
+"""Decides what follows a failed attempt, and which failure the caller gets in the end."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from limelever.proxy.call_state import Call
 from limelever.proxy.outgoing import UNASKED_BYTES
 
-DEFAULT_RETRY_AFTER = 1.0
-"""Seconds a caller is asked to wait when the refusal named no time."""
+DEFAULT_RETRY_SECONDS = 1.0
+"""Retry delay given to callers if the refusal names none."""
 
 REDIRECT_KINDS = frozenset(
     {ErrorKind.DRAINING, ErrorKind.WRONG_INCARNATION, ErrorKind.CONNECTION_FAILED}
 )
-"""The back end got no work: going elsewhere adds no load, so the retry budget is not asked."""
+"""Failures before the back end got any work: a redirect adds no load and costs no retry budget."""
 
 RETRY_KINDS = frozenset(
     {
@@ -30,16 +30,16 @@
         ErrorKind.BACKEND_REFUSED,
     }
 )
-"""Another endpoint may do better; each retry is paid from the route's budget."""
+"""Failures that another endpoint may avoid; each retry is paid from the route's budget."""
 
-CHOICES_OF_HELD_BODIES = 3
-"""Further endpoints that are asked for a call whose body waits to be asked for: each costs its head
-alone, and which of them has room on its link is not known here. A choice."""
+MAX_FURTHER_AGENTS_BODY_HELD = 3
+"""Further agents to try for a call whose body is sent only on request: each costs just the head of
+the call."""
 
-AGENT_REFUSALS = frozenset(
+AGENT_REFUSAL_KINDS = frozenset(
     {ErrorKind.OVERLOADED, ErrorKind.SHARE_EXHAUSTED, ErrorKind.DEADLINE_TOO_SHORT}
 )
-"""An agent found no room; no back end heard of the call."""
+"""Refusals by an agent without capacity; the call did not reach a back end."""
 
 _ADVICE_WITH_DELAY = frozenset(
     {RetryAdvice.AFTER_DELAY, RetryAdvice.ELSEWHERE, RetryAdvice.SAME_REQUEST_ID}
@@ -53,28 +53,28 @@
     REDIRECT = auto()
     RETRY_WITHIN_BUDGET = auto()
     SECOND_CHOICE = auto()
-    ASK_ANOTHER = auto()
+    TRY_ANOTHER_AGENT = auto()
 
 
 class RetrySettings(Struct, frozen=True):
-    """Bounds for one call; a route may name its own ``attempts``.
+    """Limits for each call; a route may override ``attempts``.
 
-    ``fleet_saved`` is the number of retries that all proxies together may have saved up for each
-    service; 0 leaves every proxy its own small number. ``second_choice_percent`` of the fresh
-    calls may be tried once more after an agent refused them before any back end had work of
-    them; 0 has these paid like all other retries.
+    ``fleet_saved_retries`` is how many retries per service all proxies together may save up; with 0
+    each proxy has its own default. ``second_choice_percent`` is the percentage of calls that may be
+    sent to a second agent after one refused them without involving a back end; with 0 such retries
+    are paid from the normal budget.
     """
 
     attempts: int = 3
     redirects: int = 3
-    fleet_saved: int = 0
+    fleet_saved_retries: int = 0
     second_choice_percent: int = 0
 
 
 def next_step(call: Call, failure: Failure, settings: RetrySettings) -> NextStep:
-    """Return what may follow a failed attempt; whether time and budget are left is asked later.
+    """Return what may follow a failed attempt; the caller checks remaining time and budget.
 
-    A call that may not be repeated goes on only after an outcome of NOT RUN.
+    A call that must not be repeated continues only after the outcome NOT RUN.
     """
     if call.caller_gone:
         return NextStep.GIVE_UP
@@ -82,25 +82,25 @@
         return NextStep.GIVE_UP
     if failure.kind in REDIRECT_KINDS and call.redirects < settings.redirects:
         return NextStep.REDIRECT
-    if settings.second_choice_percent and failure.kind in AGENT_REFUSALS and not call.arrivals:
-        return _after_refusal(call)
+    if settings.second_choice_percent and failure.kind in AGENT_REFUSAL_KINDS and not call.arrivals:
+        return _after_agent_refusal(call)
     attempts = call.route.attempts or settings.attempts
     if failure.kind in RETRY_KINDS and call.attempts - call.redirects < attempts:
         return NextStep.RETRY_WITHIN_BUDGET
     return NextStep.GIVE_UP
 
 
-def _after_refusal(call: Call) -> NextStep:
-    """Return what follows when an agent had no room: no back end heard of the call."""
+def _after_agent_refusal(call: Call) -> NextStep:
+    """Return what follows a refusal by an agent without capacity."""
     if len(call.request.body) > UNASKED_BYTES:
-        if call.further_choices < CHOICES_OF_HELD_BODIES:
-            return NextStep.ASK_ANOTHER
+        if call.further_choices < MAX_FURTHER_AGENTS_BODY_HELD:
+            return NextStep.TRY_ANOTHER_AGENT
         return NextStep.GIVE_UP
     return NextStep.GIVE_UP if call.further_choices else NextStep.SECOND_CHOICE
 
 
 def final_failure(call: Call, failure: Failure) -> Failure:
-    """Return what the caller is told: never NOT RUN when an earlier attempt may have run."""
+    """Return what the caller is told: never NOT RUN if an earlier attempt may have run."""
     if call.may_have_run is not None and failure.outcome is Outcome.NOT_RUN:
         failure = call.may_have_run
     if failure.kind is ErrorKind.OUTCOME_UNKNOWN and not call.route.at_most_once:
@@ -109,7 +109,7 @@
 
 
 def with_retry_after(failure: Failure) -> Failure:
-    """Return the failure with a delay wherever its kind advises one."""
+    """Return the failure with a retry delay if its kind advises one."""
     if failure.retry_after > 0 or failure.answer.advice not in _ADVICE_WITH_DELAY:
         return failure
-    return replace(failure, retry_after=DEFAULT_RETRY_AFTER)
+    return replace(failure, retry_after=DEFAULT_RETRY_SECONDS)
--- a/src/limelever/proxy/tenant_limits.py
+++ b/src/limelever/proxy/tenant_limits.py
@@ -1,7 +1,8 @@
-"""Refuses calls of tenants beyond their limits over all proxies, and tells what was let in.
+"""Enforces the tenants' rate limits, which apply to all proxies together.
 
-What is let in or refused goes to the relay in small sums, whose news say which part of what is
-asked may be let in. A proxy that has just joined a relay tells it of the whole window.
+The proxy reports admitted and refused calls to its relay at short intervals; the relay answers with
+the fraction of each tenant's calls that may be admitted. A proxy that connects to a relay reports
+its use of the whole window.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenants import TenantEntry
 
-REPORT_INTERVAL = 0.1
-"""Seconds between two reports."""
+REPORT_INTERVAL_SECONDS = 0.1
+"""Time between two reports."""
 
-_FEW_CALLS = 2
-"""Calls that need no report before the quiet interval is over."""
+_MIN_CALLS_FOR_REPORT = 2
+"""With fewer unreported calls, the next report waits for the quiet interval."""
 
 
-class _Unsent(Struct):
-    """Calls not yet told; more may have been given back than were let in since."""
+class _Unreported(Struct):
+    """Calls not reported yet; ``admitted`` is negative if refunds outnumber admissions."""
 
     admitted: int = 0
     refused: int = 0
 
 
 class TenantLimits:
-    """The limits as one proxy holds them; times in seconds, monotonic.
+    """Rate limits of all tenants at one proxy; times in seconds, monotonic.
 
-    Without a tenant that has a limit it asks for no deadline and reports nothing.
+    Without a limited tenant it needs no deadline and sends no reports.
     """
 
     def __init__(self, rules: LimitRules, random_source: random.Random) -> None:
@@ -45,148 +46,162 @@
         self._random = random_source
         self._gates: dict[int, Gate] = {}
         self._hash_of: dict[str, int] = {}
-        self._nodes = 0
-        self._fleet = 0
-        self._fleet_at = 0.0
+        self._node_count = 0
+        self._proxy_count = 0
+        self._proxy_count_at = 0.0
         self._news_at: float | None = None
-        self._told: frozenset[int] = frozenset()
-        self._unsent: dict[int, _Unsent] = {}
-        self._unsent_calls = 0
+        self._limited: frozenset[int] = frozenset()
+        self._unreported: dict[int, _Unreported] = {}
+        self._unreported_calls = 0
         self._report_at = 0.0
-        self._quiet_at = 0.0
+        self._idle_report_at = 0.0
 
     def __bool__(self) -> bool:
         return bool(self._gates)
 
     def set_tenants(self, by_name: Mapping[str, TenantEntry]) -> None:
-        """Take the tenants of the configuration now in force; what was used stays counted."""
+        """Apply the tenants of the current configuration; recorded use is kept."""
         gates: dict[int, Gate] = {}
         self._hash_of = {}
         for name, tenant in by_name.items():
             if tenant.rate <= 0:
                 continue
-            number = self._hash_of[name] = tenant_hash(name)
+            hashed = self._hash_of[name] = tenant_hash(name)
             limit = Limit(tenant.rate, tenant.burst)
-            held = self._gates.get(number)
-            gates[number] = held or Gate(limit, self._rules, self._random)
-            gates[number].limit = limit
+            existing = self._gates.get(hashed)
+            gates[hashed] = existing or Gate(limit, self._rules, self._random)
+            gates[hashed].limit = limit
         self._gates = gates
-        self._unsent = {number: use for number, use in self._unsent.items() if number in gates}
+        self._unreported = {
+            hashed: use for hashed, use in self._unreported.items() if hashed in gates
+        }
 
-    def nodes_known(self, nodes: int) -> None:
-        """Take how many nodes there are, as far as a proxy knows without a relay's news."""
-        self._nodes = nodes
+    def set_node_count(self, node_count: int) -> None:
+        """Set the number of nodes, used as the number of proxies until a relay reports it."""
+        self._node_count = node_count
 
     def admit(self, tenant: TenantEntry, now: float, *, is_late: bool = False) -> Failure | None:
-        """Count a call of a tenant; return why it is refused, or nothing.
+        """Count a call of a tenant; return why it is refused, or ``None``.
 
-        One that ``is_late`` whatever happens is let in only where its tenant has room to spare.
+        ``is_late`` marks a call that has already missed its latency target. It is admitted only if
+        the tenant is not being throttled.
         """
-        number = self._hash_of.get(tenant.name)
-        if number is None:
+        hashed = self._hash_of.get(tenant.name)
+        if hashed is None:
             return None
-        gate = self._gates[number]
-        if is_late and gate.is_short(self._silent(now)):
+        gate = self._gates[hashed]
+        if is_late and gate.is_short(self._news_age(now)):
             return self._refusal(tenant, gate, now)
-        admitted = gate.try_admit(self._silent(now), self._fleet_size(), now)
-        self._note(number, admitted)
+        admitted = gate.try_admit(self._news_age(now), self._fleet_size(), now)
+        self._record_decision(hashed, admitted)
         return None if admitted else self._refusal(tenant, gate, now)
 
-    def give_back(self, name: str, admitted_at: float, now: float) -> None:
-        """Count a call that was let in no more, since it wasn't run.
+    def refund(self, name: str, admitted_at: float, now: float) -> None:
+        """Take back the admission of a call that was not run.
 
-        Otherwise the calls that a full fleet refuses, and that come again, would fill the limit of
-        a tenant that keeps well below it.
+        Otherwise retries of calls that an overloaded fleet refuses would exhaust the limit of a
+        tenant that stays well below it.
         """
-        number = self._hash_of.get(name)
-        if number is not None and now - admitted_at < self._rules.window:
-            self._gates[number].use.add(admitted_at, -1, 0)
-            self._unsent.setdefault(number, _Unsent()).admitted -= 1
-            self._unsent_calls += 1
-
-    def take_news(self, news: LimitNews, now: float) -> None:
-        """Take what the relay tells; it replaces what was told before."""
-        if news.proxies >= self._fleet or now - self._fleet_at > MEMORY:
-            self._fleet, self._fleet_at = news.proxies, now
+        hashed = self._hash_of.get(name)
+        if hashed is not None and now - admitted_at < self._rules.window:
+            self._gates[hashed].use.add(admitted_at, -1, 0)
+            self._unreported.setdefault(hashed, _Unreported()).admitted -= 1
+            self._unreported_calls += 1
+
+    def apply_news(self, news: LimitNews, now: float) -> None:
+        """Apply an update from the relay, which replaces the previous one."""
+        if news.proxies >= self._proxy_count or now - self._proxy_count_at > MEMORY:
+            self._proxy_count, self._proxy_count_at = news.proxies, now
         self._news_at = now
-        for number in self._told.difference(news.tenants):
-            if number in self._gates:
-                self._gates[number].free()
-        self._told = frozenset(news.tenants)
-        for number, permille in zip(news.tenants, news.permille, strict=False):
-            if number in self._gates:
-                self._gates[number].told(permille, now)
-
-    def joined(self, now: float) -> TenantUse | None:
-        """Return the window's use, for a relay that is followed from now on."""
+        for hashed in self._limited.difference(news.tenants):
+            if hashed in self._gates:
+                self._gates[hashed].free()
+        self._limited = frozenset(news.tenants)
+        for hashed, permille in zip(news.tenants, news.permille, strict=False):
+            if hashed in self._gates:
+                self._gates[hashed].told(permille, now)
+
+    def full_report(self, now: float) -> TenantUse | None:
+        """Return the use of the whole window, for a newly connected relay."""
         if not self._gates:
             return None
-        self._sent(now)
-        self._unsent = {}
-        use = TenantUse(fleet=self._fleet)
-        for number, gate in self._gates.items():
+        self._schedule_report(now)
+        self._unreported = {}
+        use = TenantUse(fleet=self._proxy_count)
+        for hashed, gate in self._gates.items():
             for age, slot in gate.use.slots(now):
-                use.tenants.append(number)
+                use.tenants.append(hashed)
                 use.admitted.append(max(0, slot.admitted))
                 use.refused.append(slot.refused)
                 use.ages_ms.append(int(age * 1000) + 1)
         return use
 
     def report(self, now: float) -> TenantUse | None:
-        """Return what is to be told now, if anything."""
+        """Return the report that is due now, if any."""
         deadline = self.next_deadline()
         if deadline is None or now < deadline:
             return None
-        self._sent(now)
+        self._schedule_report(now)
         use = TenantUse()
-        for number, unsent in list(self._unsent.items()):
-            if unsent.admitted < 0:
+        for hashed, unreported in list(self._unreported.items()):
+            if unreported.admitted < 0:
                 continue
-            del self._unsent[number]
-            use.tenants.append(number)
-            use.admitted.append(unsent.admitted)
-            use.refused.append(unsent.refused)
+            del self._unreported[hashed]
+            use.tenants.append(hashed)
+            use.admitted.append(unreported.admitted)
+            use.refused.append(unreported.refused)
         if not any(use.refused):
             use.ClearField("refused")
         return use
 
-    def alone(self, now: float) -> bool:
-        """Return whether the proxy keeps to its own part of each limit, hearing of no other."""
-        return bool(self._gates) and SILENT_AFTER < self._silent(now) < math.inf
+    def is_isolated(self, now: float) -> bool:
+        """Return whether relay updates have stopped arriving.
+
+        This proxy then admits calls only within its own part of each limit.
+        """
+        return bool(self._gates) and SILENT_AFTER < self._news_age(now) < math.inf
 
     def next_deadline(self) -> float | None:
-        """Return when ``report`` is to be called, or ``None``."""
+        """Return when ``report`` must be called next, or ``None``."""
         if not self._gates:
             return None
-        return self._report_at if self._unsent_calls >= _FEW_CALLS else self._quiet_at
+        return (
+            self._report_at
+            if self._unreported_calls >= _MIN_CALLS_FOR_REPORT
+            else self._idle_report_at
+        )
 
-    def _sent(self, now: float) -> None:
-        self._unsent_calls = 0
-        self._report_at = now + REPORT_INTERVAL
-        self._quiet_at = now + QUIET_INTERVAL
+    def _schedule_report(self, now: float) -> None:
+        self._unreported_calls = 0
+        self._report_at = now + REPORT_INTERVAL_SECONDS
+        self._idle_report_at = now + QUIET_INTERVAL
 
-    def _note(self, number: int, admitted: bool) -> None:
-        unsent = self._unsent.setdefault(number, _Unsent())
+    def _record_decision(self, hashed: int, admitted: bool) -> None:
+        unreported = self._unreported.setdefault(hashed, _Unreported())
         if admitted:
-            unsent.admitted += 1
+            unreported.admitted += 1
         else:
-            unsent.refused += 1
-        self._unsent_calls += 1
+            unreported.refused += 1
+        self._unreported_calls += 1
 
-    def _silent(self, now: float) -> float:
+    def _news_age(self, now: float) -> float:
         return now - self._news_at if self._news_at is not None else math.inf
 
     def _fleet_size(self) -> int:
-        return max(1, self._fleet or self._nodes)
+        return max(1, self._proxy_count or self._node_count)
 
     def _refusal(self, tenant: TenantEntry, gate: Gate, now: float) -> Failure:
-        silent = self._silent(now)
-        known = f"news {silent:.1f} s old" if math.isfinite(silent) else "no news"
+        news_age = self._news_age(now)
+        freshness = (
+            f"relay update {news_age:.1f} s old"
+            if math.isfinite(news_age)
+            else "no relay update yet"
+        )
         reason = (
-            f"tenant {tenant.name} is at its limit of {tenant.rate:g} calls a second and"
-            f" {tenant.burst:g} more ({gate.use.admitted(now)} calls here in the last"
-            f" {self._rules.window:g} s, {known})"
+            f"tenant {tenant.name} is at its limit of {tenant.rate:g} calls/s plus a burst of"
+            f" {tenant.burst:g} ({gate.use.admitted(now)} admitted by this proxy in the last"
+            f" {self._rules.window:g} s, {freshness})"
         )
-        wait = gate.wait(silent, self._fleet_size())
-        about = (f"tenant/{tenant.name}",)
-        return Failure(ErrorKind.RATE_LIMITED, reason, resources=about, retry_after=wait)
+        wait = gate.wait(news_age, self._fleet_size())
+        resources = (f"tenant/{tenant.name}",)
+        return Failure(ErrorKind.RATE_LIMITED, reason, resources=resources, retry_after=wait)
--- a/src/limelever/proxy/tenants.py
+++ b/src/limelever/proxy/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of a configuration, as the proxy looks them up by their callers' keys."""
+"""The tenants of a configuration, indexed by name and by API key digest."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class TenantEntry(Struct, frozen=True):
-    """A tenant; ``rate`` in requests a second over all proxies, 0 for no limit.
+    """A tenant.
 
-    ``burst`` are requests above that rate. ``priority`` is 0 for none, 1 for the most urgent.
+    ``rate`` is in requests per second over all proxies, 0 for no limit, and ``burst`` the number of
+    requests allowed above it. ``priority`` is 1 for the most urgent, 0 for none.
     """
 
     name: str
@@ -23,7 +24,7 @@
 
 
 class TenantTable(Struct, frozen=True):
-    """Tenants by name, and by the SHA-256 of each of their keys."""
+    """Tenants by name, and by the SHA-256 digest of each of their API keys."""
 
     by_name: Mapping[str, TenantEntry] = {}
     by_digest: Mapping[bytes, TenantEntry] = {}
@@ -32,7 +33,7 @@
         return bool(self.by_name)
 
     def priorities(self) -> frozenset[int]:
-        """Return the priorities that tenants have."""
+        """Return the distinct priorities of the tenants."""
         return frozenset(entry.priority for entry in self.by_name.values() if entry.priority)
 
 
@@ -41,26 +42,26 @@
 
 def build_tenant_table(tenants: Iterable[Tenant]) -> TenantTable:
     """Return the table of all tenants of a configuration."""
-    return _with(NO_TENANTS, frozenset(), tenants)
+    return _updated(NO_TENANTS, frozenset(), tenants)
 
 
 def advance_tenant_table(
-    former: TenantTable, put: Iterable[VersionedResource], removed: Iterable[Key]
+    previous: TenantTable, put: Iterable[VersionedResource], removed: Iterable[Key]
 ) -> TenantTable:
-    """Return the table after a change; the former one itself where no tenant is in it.
+    """Return the table after a change; the same object if no tenant changed.
 
-    A key that has moved to another tenant in the change is found under that one.
+    A key that moves to another tenant in the change belongs to the new one.
     """
     tenants = [each.resource.tenant for each in put if each.resource.HasField("tenant")]
-    gone = {key.name for key in removed if key.kind == RESOURCE_KIND_TENANT}
-    replaced = frozenset(gone.union(tenant.name for tenant in tenants))
-    return _with(former, replaced, tenants) if replaced else former
+    removed_names = {key.name for key in removed if key.kind == RESOURCE_KIND_TENANT}
+    replaced = frozenset(removed_names.union(tenant.name for tenant in tenants))
+    return _updated(previous, replaced, tenants) if replaced else previous
 
 
-def _with(former: TenantTable, replaced: frozenset[str], put: Iterable[Tenant]) -> TenantTable:
-    by_name = {name: entry for name, entry in former.by_name.items() if name not in replaced}
+def _updated(previous: TenantTable, replaced: frozenset[str], put: Iterable[Tenant]) -> TenantTable:
+    by_name = {name: entry for name, entry in previous.by_name.items() if name not in replaced}
     by_digest = {
-        digest: entry for digest, entry in former.by_digest.items() if entry.name not in replaced
+        digest: entry for digest, entry in previous.by_digest.items() if entry.name not in replaced
     }
     for tenant in put:
         entry = TenantEntry(tenant.name, tenant.priority, tenant.rate_per_s, tenant.burst)
--- /dev/null
+++ b/src/limelever/proxy/traffic_split.py
@@ -0,0 +1,66 @@
+"""Splits a route's calls between services by weight.
+
+Uses smooth weighted round robin: with each call every part gains its weight, and the part with the
+highest balance takes the call and pays the total weight. Any sequence of calls deviates from the
+exact shares by less than one call per part. Each proxy starts at a random offset, so that many
+proxies with few calls do not all begin with the same part.
+"""
+
+from __future__ import annotations
+
+import random
+
+from limelever.proxy.router import RouteEntry, RoutePart
+
+_SINGLE_PART = 1
+_MAX_INITIAL_OFFSET = 100
+"""Largest number of calls by which the start of a rotation is shifted."""
+
+
+class _SmoothWeightedRoundRobin:
+    """Scheduler of one route; replaced when the route's weights change."""
+
+    def __init__(self, parts: tuple[RoutePart, ...], offset: int) -> None:
+        self.weights = weights_of(parts)
+        self._current = [0] * len(parts)
+        self._total_weight = sum(part.weight for part in parts)
+        for _ in range(offset):
+            self.next()
+
+    def next(self) -> int:
+        """Return the index of the part that takes the next call."""
+        for index, (_, weight) in enumerate(self.weights):
+            self._current[index] += weight
+        chosen = max(range(len(self._current)), key=self._current.__getitem__)
+        self._current[chosen] -= self._total_weight
+        return chosen
+
+
+class TrafficSplitter:
+    """Schedulers of all routes with several parts."""
+
+    def __init__(self, random_source: random.Random) -> None:
+        self._random = random_source
+        self._schedulers: dict[str, _SmoothWeightedRoundRobin] = {}
+
+    def choose(self, route: RouteEntry) -> RoutePart:
+        """Return the part of ``route`` that takes the next call."""
+        if len(route.parts) == _SINGLE_PART:
+            return route.parts[0]
+        scheduler = self._schedulers.get(route.name)
+        if scheduler is None or scheduler.weights != weights_of(route.parts):
+            offset = self._random.randrange(_MAX_INITIAL_OFFSET)
+            scheduler = self._schedulers[route.name] = _SmoothWeightedRoundRobin(
+                route.parts, offset
+            )
+        return route.parts[scheduler.next()]
+
+    def keep_only(self, routes: frozenset[str]) -> None:
+        """Drop the schedulers of all routes but these."""
+        for name in self._schedulers.keys() - routes:
+            del self._schedulers[name]
+
+
+def weights_of(parts: tuple[RoutePart, ...]) -> tuple[tuple[str, int], ...]:
+    """Return the services and weights of a split, used to detect changes."""
+    return tuple((part.service, part.weight) for part in parts)
--- a/src/limelever/proxy/version_gate.py
+++ b/src/limelever/proxy/version_gate.py
@@ -1,8 +1,8 @@
-"""Lets calls to the back ends of those versions only that a rollout allows.
+"""Restricts calls to the back end versions that a rollout allows.
 
-While one runs, a part of the service's calls is drawn for the target version. It goes to a few of
-the version's back ends, the same ones at all proxies, so that each has about the usual load: a
-version may be bad under load alone. All other calls go to the baseline.
+During a rollout a fraction of the service's calls goes to the target version. These calls are sent
+to a proportional number of its back ends, the same ones at all proxies, so that each gets its
+normal load: a version may fail only under load. All other calls go to the baseline version.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from limelever.proxy.endpoints import EndpointEntry
 from limelever.rollout.steps import WHOLE
 
-Entries = Sequence[EndpointEntry]
+Endpoints = Sequence[EndpointEntry]
 
 
 class _Pools(Struct, frozen=True):
-    """The endpoints that a service's calls may go to, made from ``usable`` as it was then.
+    """Endpoints that a service's calls may go to, cached for the same ``usable`` sequence.
 
-    ``canary`` take the part that is drawn for a version under trial.
+    ``canary`` takes the fraction of the calls that tests the target version.
     """
 
-    usable: Entries
-    main: Entries
-    canary: Entries
+    usable: Endpoints
+    main: Endpoints
+    canary: Endpoints
 
 
 class VersionGate:
-    """Chooses among a service's usable endpoints by its rollout; without one all are let."""
+    """Selects a service's eligible endpoints by its rollout, if there is one."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
@@ -45,12 +45,12 @@
         self._pools: dict[str, _Pools] = {}
 
     def set_rollouts(self, rollouts: Mapping[str, Rollout]) -> None:
-        """Go by these rollouts, by service, from now on."""
+        """Apply these rollouts, by service, from now on."""
         self._rollouts = rollouts
         self._pools.clear()
 
-    def let(self, service: str, usable: Entries) -> Entries:
-        """Return the endpoints among which a call to ``service`` is placed."""
+    def eligible(self, service: str, usable: Endpoints) -> Endpoints:
+        """Return the endpoints that may take a call to ``service``."""
         rollout = self._rollouts.get(service)
         if rollout is None:
             return usable
@@ -62,29 +62,29 @@
         return pools.main
 
 
-def _pools(rollout: Rollout, usable: Entries) -> _Pools:
-    former = [entry for entry in usable if _is_former(rollout, entry)]
+def _pools(rollout: Rollout, usable: Endpoints) -> _Pools:
+    baseline = [entry for entry in usable if _is_baseline(rollout, entry)]
     target = [entry for entry in usable if entry.version == rollout.target]
     if rollout.state == ROLLOUT_STATE_COMPLETED:
         return _Pools(usable, target, ())
     if rollout.state != ROLLOUT_STATE_RUNNING or not rollout.permille:
-        return _Pools(usable, former, ())
+        return _Pools(usable, baseline, ())
     if rollout.permille >= WHOLE:
-        return _Pools(usable, target or former, ())
-    count = max(1, math.ceil(len(former) * rollout.permille / WHOLE))
-    return _Pools(usable, former, sorted(target, key=_rank)[:count])
+        return _Pools(usable, target or baseline, ())
+    count = max(1, math.ceil(len(baseline) * rollout.permille / WHOLE))
+    return _Pools(usable, baseline, sorted(target, key=_order_key)[:count])
 
 
-def _is_former(rollout: Rollout, entry: EndpointEntry) -> bool:
-    """Return whether an endpoint is of the version from which calls are moved.
+def _is_baseline(rollout: Rollout, entry: EndpointEntry) -> bool:
+    """Return whether an endpoint runs the version that is being replaced.
 
-    An endpoint whose version is not known is of none: it may be of the target.
+    An endpoint of unknown version does not count, as it may run the target version.
     """
     if rollout.baseline:
         return entry.version == rollout.baseline
     return entry.version not in ("", rollout.target)
 
 
-def _rank(entry: EndpointEntry) -> int:
-    """Return a number by which all proxies put a version's endpoints in one order."""
+def _order_key(entry: EndpointEntry) -> int:
+    """Return a number that gives a version's endpoints the same order at all proxies."""
     return endpoint_hash(entry.key.service, entry.key.instance)
