--- a/features/proxy/balancing.feature
+++ b/features/proxy/balancing.feature
@@ -1,57 +1,57 @@
-Feature: A proxy spreads calls by what it sees itself
+Feature: A proxy balances calls by load, latency, zone and endpoint health
 
-  Scenario: The own zone comes first and spills over when it is full
+  Scenario: The local zone is preferred and spills over when it is full
     Given endpoints with 2 slots in zones "here, there"
     When the balancer starts 2 calls
     Then all of the balancer's calls are in zone "here"
     When the balancer starts 2 calls
     Then some of the balancer's calls are in zone "there"
 
-  Scenario: A load told by a relay steers calls away, until it fades
+  Scenario: A load reported by a relay steers calls away
     Given endpoints with 2 slots in zones "here, here, here"
-    When relays tell the balancer of a load of 6 at two of them
+    When relays report a load of 6 for the first two endpoints
     And the balancer starts 2 calls
-    Then all of the balancer's calls are at the third
+    Then all of the balancer's calls are at the third endpoint
 
-  Scenario: An endpoint of another zone is not idle for want of news
+  Scenario: An endpoint in another zone does not count as idle for lack of reports
     Given endpoints with 2 slots in zones "here, here, there, there"
-    And calls that each take 0.1 seconds at all of them
-    When relays tell the balancer of a load of 3 at two of them
-    And 60 calls are chosen one at a time
-    Then less than a third of them are in zone "there"
+    And each endpoint has reported a service time of 0.1 seconds
+    When relays report a load of 3 for the first two endpoints
+    And endpoints are picked for 60 calls, one after the other
+    Then less than a third of the calls are in zone "there"
 
-  Scenario: A cold endpoint is ramped up
-    Given a warm endpoint and one that has just appeared
+  Scenario: A cold endpoint is ramped up by slow start
+    Given a warm endpoint and a cold one
     Then the cold endpoint gets less than a third of the calls at first
-    And the cold endpoint gets about half of the calls after its ramp
+    And the cold endpoint gets about half of the calls after its slow start
 
-  Scenario: Ejection keeps a floor
-    Given any outcomes of calls, the balancer keeps half of the endpoints in use
+  Scenario: Ejections leave a minimum of endpoints in use
+    Given any call outcomes, at least half of the endpoints stay in use
 
   Scenario: Reported load cannot hide failures
     Given an endpoint that reports no load and fails every call
-    Then the balancer leaves the failing endpoint out, and tries it again later
+    Then the balancer ejects the failing endpoint, and tries it again later
 
-  Scenario: Endpoint news in any order gives one view
-    Given any order of endpoint news, the newest wins and a drained incarnation stays out
+  Scenario: Endpoint updates in any order result in the same view
+    Given endpoint updates in any order, the newest wins and a drained incarnation stays unusable
 
-  Scenario: A relay with older news that an endpoint drains is heeded
-    Given an endpoint of which another relay has told newer news
-    Then older news that its incarnation drains takes it out for good
-    And the next incarnation takes work
+  Scenario: An older update that an endpoint is draining still counts
+    Given an endpoint for which another relay has sent a newer update
+    Then an older update that its incarnation is draining makes it unusable for good
+    And its next incarnation is usable
 
-  Scenario: An endpoint whose lease ended comes back with newer news
-    Given an endpoint whose lease ended at a relay that hears nothing
-    Then news as old as its end does not bring it back
+  Scenario: An endpoint whose lease expired returns with a newer update
+    Given an endpoint whose lease has expired at a partitioned relay
+    Then an update no newer than its removal does not bring it back
     And its newer registration at another relay brings it back
 
   Scenario: A relay that has just restarted does not empty the view
     Given a view of 3 endpoints
-    When a full update names 1 of them
+    When a full update lists only 1 of them
     Then the view keeps the others for a grace period
 
-  Scenario: Groups are bounded by their share when the proxy is nearly full
-    Given any calls of three groups, the bounds hold and a group under its share finds room
+  Scenario: Groups are limited to their share when the proxy is nearly full
+    Given any calls of three groups, the limits hold and a group below its share is admitted
 
   Scenario Outline: The more bytes a call moves, the longer it may wait for its own zone
     Given a route with 1 second to its target whose answers have <answer> bytes
@@ -65,29 +65,29 @@
       | 60000  | 0     | 1000         |
       | no     | 0     | 700          |
 
-  Scenario: What is known of a route is forgotten with it
+  Scenario: The observed sizes of a route are dropped with it
     Given a route with 1 second to its target whose answers have 400 bytes
     When the configuration no longer holds that route
     Then a call on it with a body of 0 bytes may wait 700 ms for its own zone
 
-  Scenario: Endpoints are compared by how long calls of the same route take there
-    Given two endpoints, one flooded with short calls and one with a few long ones
-    Then the balancer sends a short call to the one with few, though its calls take longer on average
+  Scenario: Endpoints are compared by their service time for the call's route
+    Given two endpoints, one with many short calls and one with a few long calls
+    Then a short call goes to the endpoint with few calls, though its average service time is longer
 
-  Scenario: Times of routes that are gone are forgotten
-    Given two endpoints, one flooded with short calls and one with a few long ones
-    When the balancer's route "short" is gone
-    Then the balancer holds times of no route but "long"
+  Scenario: Service times of removed routes are dropped
+    Given two endpoints, one with many short calls and one with a few long calls
+    When the route "short" is removed from the balancer
+    Then the balancer has service times only for the route "long"
 
-  Scenario Outline: A light call leaves its zone for an earlier answer, any other only when it is full
-    Given an endpoint of the own zone that takes 240 ms and one elsewhere that takes <other>, both idle
-    Then a <kind> call with 400 ms to its target goes <where>
+  Scenario Outline: A small call leaves its zone for a faster endpoint, any other call only if the zone is full
+    Given an idle local endpoint that takes 240 ms and an idle remote one that takes <other> ms
+    Then a <kind> call with 400 ms to its latency target goes <where>
 
     Examples:
-      | other | kind   | where       |
-      | 120   | light  | elsewhere   |
-      | 235   | light  | to its zone |
-      | 120   | usual  | to its zone |
+      | other | kind  | where       |
+      | 120   | light | elsewhere   |
+      | 235   | light | to its zone |
+      | 120   | usual | to its zone |
 
   Scenario Outline: Calls are light by what they move
     Given a route with 1 second to its target whose answers have <answer> bytes
--- a/features/proxy/overload.feature
+++ b/features/proxy/overload.feature
@@ -1,4 +1,4 @@
-Feature: The mesh stays at capacity under overload, and refuses the excess at once
+Feature: Under overload the mesh keeps serving at capacity and refuses the excess at once
 
   Scenario: A zone is lost at full load
     Given a mesh bench of two zones with weights small=1, middle=2, large=5
@@ -10,7 +10,7 @@
     And 9 of 10 refusals of the mesh bench came within 50 ms, all NOT RUN and with a retry time
     And the mesh bench made no more attempts than 111 percent of its calls
 
-  Scenario: A group that floods the mesh takes nothing from another
+  Scenario: A group that floods the mesh does not affect another group
     Given a mesh bench of two zones with weights flood=1, steady=1
     When group flood of the mesh bench offers 700 and group steady 60 calls a second for 10 seconds
     Then every call of group steady is answered by the mesh bench
@@ -28,7 +28,7 @@
     When each group of the mesh bench offers 40 calls a second to zones "a" for 10 seconds
     Then zone b of the mesh bench got between 0 and 0 percent of the calls
 
-  Scenario: A cold back end is ramped up at full load
+  Scenario: A cold back end is ramped up under full load
     Given a mesh bench of two zones with weights all=1
     When each group of the mesh bench offers 150 calls a second to zones "ab" for 5 seconds
     And a cold agent joins zone a of the mesh bench
@@ -37,67 +37,66 @@
     And the cold agent got at least 25 percent of zone a's calls in its last 5 seconds
     And the mesh bench refuses nothing
 
-  Scenario: A back end that fails at once does not draw the calls
+  Scenario: A back end that fails fast does not attract calls
     Given a mesh bench of two zones with weights all=1
     When an agent of zone a of the mesh bench fails every call at once
     And each group of the mesh bench offers 80 calls a second to zones "ab" for 20 seconds
     Then fewer than 5 percent of the mesh bench's calls failed
 
-  Scenario: A back end that has become slow gets few calls
+  Scenario: A back end that becomes slow gets few calls
     Given a mesh bench of two zones with weights all=1
     When an agent of zone a of the mesh bench becomes 10 times slower
     And each group of the mesh bench offers 80 calls a second to zones "ab" for 20 seconds
     Then the mesh bench refuses nothing
     And the slow agent of the mesh bench got less than 10 percent of the calls
 
-  Scenario Outline: Who names less time than is usual has waited for the difference
-    Given callers of a route of whom <usual> in 100 name 2500 ms, and the others any time below
-    When a caller names <named> ms
-    Then it is taken to have waited for <waited> ms
+  Scenario Outline: A timeout below the common one counts as a retry that has waited for the difference
+    Given callers of a route of whom <common> in 100 send a timeout of 2500 ms, and the others a shorter one
+    When a caller sends a timeout of <timeout> ms
+    Then its prior wait is estimated as <estimate> ms
 
     Examples:
-      | usual | named | waited |
-      | 100   | 2500  | 0      |
-      | 100   | 1900  | 600    |
-      | 50    | 1900  | 600    |
-      | 50    | 4000  | 0      |
-      | 5     | 1900  | 0      |
+      | common | timeout | estimate |
+      | 100    | 2500    | 0        |
+      | 100    | 1900    | 600      |
+      | 50     | 1900    | 600      |
+      | 50     | 4000    | 0        |
+      | 5      | 1900    | 0        |
 
-  Scenario: What is usual follows the callers
-    Given callers of a route of whom 100 in 100 name 2500 ms, and the others any time below
-    When 1500 callers name 1000 ms
-    And a caller names 900 ms
-    Then it is taken to have waited for 100 ms
+  Scenario: The common timeout follows the callers
+    Given callers of a route of whom 100 in 100 send a timeout of 2500 ms, and the others a shorter one
+    When 1500 callers send a timeout of 1000 ms
+    And a caller sends a timeout of 900 ms
+    Then its prior wait is estimated as 100 ms
 
-  Scenario Outline: Callers of different patience who come back are told by the gap
-    Each caller of a site waited for a time of its own, 85 to 100 in 100 of the longest. No time was
-    usual, so that nobody counted as one that had come back: a third of the calls under an overload,
-    past their target, took the slots of fresh ones, and half of the answers were late.
-    Given callers of a route with a patience of 1770 to 2084 ms, of whom <back> in 100 come back after a third of it
-    When a caller names <named> ms
-    Then it is taken to have waited for <least> to <most> ms
+  Scenario Outline: Retries of callers with different timeouts are detected by a gap in the distribution
+    Without a common timeout no call would count as a retry, and late retries would take the slots
+    of first attempts.
+    Given callers of a route with timeouts of 1770 to 2084 ms, of whom <retrying> in 100 retry after a third of theirs
+    When a caller sends a timeout of <timeout> ms
+    Then its prior wait is estimated as <least> to <most> ms
 
     Examples:
-      | back | named | least | most |
-      | 0    | 1800  | 0     | 0    |
-      | 0    | 1300  | 550   | 700  |
-      | 50   | 1775  | 0     | 0    |
-      | 50   | 2084  | 0     | 0    |
-      | 50   | 1300  | 550   | 700  |
-      | 70   | 1200  | 650   | 800  |
+      | retrying | timeout | least | most |
+      | 0        | 1800    | 0     | 0    |
+      | 0        | 1300    | 550   | 700  |
+      | 50       | 1775    | 0     | 0    |
+      | 50       | 2084    | 0     | 0    |
+      | 50       | 1300    | 550   | 700  |
+      | 70       | 1200    | 650   | 800  |
 
-  Scenario Outline: Times without a gap say nothing of who has come back
-    Given callers of a route with a patience of 1 to 2500 ms, of whom 0 in 100 come back after a third of it
-    When a caller names <named> ms
-    Then it is taken to have waited for 0 to 0 ms
+  Scenario Outline: Timeouts without a gap in their distribution count as first attempts
+    Given callers of a route with timeouts of 1 to 2500 ms, of whom 0 in 100 retry after a third of theirs
+    When a caller sends a timeout of <timeout> ms
+    Then its prior wait is estimated as 0 to 0 ms
 
     Examples:
-      | named |
-      | 2400  |
-      | 1000  |
-      | 300   |
+      | timeout |
+      | 2400    |
+      | 1000    |
+      | 300     |
 
-  Scenario: A caller that comes back leaves the queue to the fresh
-    Given a queue full of calls of 100 ms, in which a fresh call would have to wait for 60 ms
-    Then a call whose target is 300 ms away is taken
-    And a call whose target is past is refused
+  Scenario: A late retry gives way to first attempts in the queue
+    Given a full queue of calls of 100 ms each, with an expected wait of 60 ms
+    Then a call with 300 ms to its latency target is queued
+    And a call past its latency target is refused
--- a/features/proxy/quarantine.feature
+++ b/features/proxy/quarantine.feature
@@ -1,91 +1,91 @@
-Feature: A proxy keeps requests from back ends under which others have ended
+Feature: A proxy quarantines requests that crash back ends
 
-  Scenario: From its third crash on a request is refused at once, and says that it was not run
+  Scenario: After its third crash a request is refused at once, with outcome not-run
     Given a proxy with 3 endpoints
-    When the relay tells the proxy of 2 crashes under "/orders/1"
+    When the relay reports 2 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     Then 1 call was handed on
-    When the relay tells the proxy of 3 crashes under "/orders/2"
+    When the relay reports 3 crashes on "/orders/2" to the proxy
     And a caller asks the proxy for "/orders/2"
     Then the proxy refused call 2 as "quarantined" with a retry time
     And the caller of call 2 was told "quarantined" and outcome "not-run"
-    And the caller of call 2 was told to come back after 60 seconds or later
+    And the caller of call 2 was told to retry after 60 seconds or later
     When a caller asks the proxy for "/orders/3"
     Then 2 calls were handed on
 
-  Scenario: A second try serves whoever merely shared the back end, a third would cost another
+  Scenario: A call is retried once after a crash, but not twice
     Given a proxy with 3 endpoints and retries for every call
     When a caller asks the proxy for "/orders/1"
-    And the back end of the call ends as crash 1
+    And the back end of the call crashes with crash number 1
     Then 2 calls were handed on
-    And the call that is open tells its agent of 1 ends in a row
-    When the back end of the call ends as crash 2
+    And the open call tells its agent of 1 previous crashes in a row
+    When the back end of the call crashes with crash number 2
     Then 2 calls were handed on
     And the caller of call 1 was told "backend-crashed" and outcome "unknown"
-    And the relay was told by the proxy of 2 crashes under "/orders/1"
+    And the proxy reported 2 crashes on "/orders/1" to the relay
 
-  Scenario: Calls that were sent before any crash was known don't add up
+  Scenario: Crashes of calls that were sent before any crash was known do not add up
     Given a proxy with 3 endpoints
     When a caller asks the proxy for "/orders/1"
     And a caller asks the proxy for "/orders/1"
     And a caller asks the proxy for "/orders/1"
-    And the back end of the call ends as crash 1
-    And the back end of the call ends as crash 2
-    And the back end of the call ends as crash 3
+    And the back end of the call crashes with crash number 1
+    And the back end of the call crashes with crash number 2
+    And the back end of the call crashes with crash number 3
     And a caller asks the proxy for "/orders/1"
     Then 4 calls were handed on
 
-  Scenario: An answer clears, and the relay hears of it
+  Scenario: An answer clears a request, and the proxy reports it to the relay
     Given a proxy with 3 endpoints
-    When the relay tells the proxy of 2 crashes under "/orders/1"
+    When the relay reports 2 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     And the agent answers the call
-    Then the relay was told by the proxy that 2 crashes under "/orders/1" are cleared
-    When the relay tells the proxy of 3 crashes under "/orders/1"
+    Then the proxy reported to the relay that 2 crashes on "/orders/1" are cleared
+    When the relay reports 3 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     Then 2 calls were handed on
 
-  Scenario: A failure at the deadline clears nothing: it may have come before the end
+  Scenario: A server error clears nothing, as it may precede a crash
     Given a proxy with 3 endpoints
-    When the relay tells the proxy of 2 crashes under "/orders/1"
+    When the relay reports 2 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     And the agent answers the call with status 504
-    And the relay tells the proxy of 3 crashes under "/orders/1"
+    And the relay reports 3 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     Then the proxy refused call 2 as "quarantined" with a retry time
 
-  Scenario: What waits at an agent as its request is convicted comes back unrun
+  Scenario: A call queued at an agent is cancelled when its request is convicted
     Given a proxy with one endpoint
     When a caller asks the proxy for "/orders/1"
-    And the relay tells the proxy of 3 crashes under "/orders/1"
-    Then the agent was asked to give up 1 call unless it has begun
+    And the relay reports 3 crashes on "/orders/1" to the proxy
+    Then the agent was asked to cancel 1 call unless it has begun
     When the agent refuses the call as "deadline-too-short"
     Then the caller of call 1 was told "quarantined" and outcome "not-run"
 
-  Scenario: A call that waits for its link as its request is convicted is not sent
+  Scenario: A call that waits for its link is not sent when its request is convicted
     Given a proxy with one endpoint whose agent accepts no link
     When a caller asks the proxy for "/orders/1"
-    And the relay tells the proxy of 3 crashes under "/orders/1"
+    And the relay reports 3 crashes on "/orders/1" to the proxy
     Then the caller of call 1 was told "quarantined" and outcome "not-run"
 
-  Scenario: An at-most-once call is refused before it is claimed, so that its key stays free
+  Scenario: A quarantined at-most-once call is refused before its idempotency key is claimed
     Given a proxy with one endpoint
-    When the relay tells the proxy of 3 crashes under the order of a caller
+    When the relay reports 3 crashes on a caller's order to the proxy
     And a caller places an order with key "k1"
     Then the proxy refused call 1 as "quarantined" with a retry time
-    And no key was claimed
+    And no idempotency key was claimed
 
-  Scenario: An upload is known by its body
+  Scenario: An upload is identified by its body
     Given a proxy with one endpoint
-    When the relay tells the proxy of 3 crashes under an upload of 25600 bytes
+    When the relay reports 3 crashes on an upload of 25600 bytes to the proxy
     And a caller uploads 25600 bytes
     Then the proxy refused call 1 as "quarantined" with a retry time
     When a caller uploads 25856 bytes
     Then 1 call was handed on
 
-  Scenario: After its time one call at a time tries; an answer ends the quarantine
+  Scenario: After the quarantine one trial call is admitted, and its answer ends the quarantine
     Given a proxy with 3 endpoints
-    When the relay tells the proxy of 3 crashes under "/orders/1"
+    When the relay reports 3 crashes on "/orders/1" to the proxy
     And 240.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     And a caller asks the proxy for "/orders/1"
@@ -95,25 +95,25 @@
     And a caller asks the proxy for "/orders/1"
     Then 2 calls were handed on
 
-  Scenario: A try that ends another back end lasts twice as long, without a second try
+  Scenario: A trial that crashes another back end doubles the quarantine and is not retried
     Given a proxy with 3 endpoints and retries for every call
-    When the relay tells the proxy of 3 crashes under "/orders/1"
+    When the relay reports 3 crashes on "/orders/1" to the proxy
     And 240.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
-    And the back end of the call ends as crash 9
+    And the back end of the call crashes with crash number 9
     Then 1 call was handed on
     When 239.0 seconds pass at the proxy
     And a caller asks the proxy for "/orders/1"
     Then the proxy refused call 2 as "quarantined" with a retry time
 
-  Scenario: A relay that knows nothing yet is told by the proxies
+  Scenario: A restarted relay gets its crash news from the proxies
     Given a proxy with one endpoint
-    When the relay tells the proxy of 3 crashes under "/orders/1"
-    And a relay that has just started tells all it knows, which is nothing
-    Then the relay was told by the proxy of 3 crashes under "/orders/1"
+    When the relay reports 3 crashes on "/orders/1" to the proxy
+    And a relay that has just restarted sends full but empty crash news
+    Then the proxy reported 3 crashes on "/orders/1" to the relay
 
-  Scenario: Operators release a request by its digest
+  Scenario: Operators can release a request by its digest
     Given a proxy whose operators have released "/orders/1"
-    When the relay tells the proxy of 3 crashes under "/orders/1"
+    When the relay reports 3 crashes on "/orders/1" to the proxy
     And a caller asks the proxy for "/orders/1"
     Then 1 call was handed on
--- a/features/proxy/tenant_refusals.feature
+++ b/features/proxy/tenant_refusals.feature
@@ -1,41 +1,40 @@
-Feature: A proxy refuses calls beyond a tenant's limit at once, and counts those that ran
+Feature: A proxy refuses calls beyond a tenant's limit at once, and counts only calls that were run
 
   Scenario: Only the calls of the tenant that is at its limit are refused
-    Given a proxy whose tenants "north" and "south" may make 2 calls a second each
-    When its relay tells it to let in nothing of "north"
-    And a caller shows "Token north-key" on the route "desk"
-    Then the call is refused as "rate-limited" with a time to come back
-    And the call is answered by 429, not run, and counted for "north"
-    When a caller shows "Token south-key" on the route "desk"
+    Given a proxy whose tenants "north" and "south" have a limit of 2 calls a second each
+    When its relay tells it to admit no calls of "north"
+    And a caller sends "Token north-key" to the route "desk"
+    Then the call is refused as "rate-limited" with a retry time
+    And the call is answered with status 429, is not run, and is counted for "north"
+    When a caller sends "Token south-key" to the route "desk"
     Then the call goes to the back end for "south"
-    When a caller shows nothing on the route "open"
+    When a caller sends no key to the route "open"
     Then the call goes to the back end for ""
-    When its relay tells it of no tenant
-    And a caller shows "Token north-key" on the route "desk"
+    When its relay reports no tenant near its limit
+    And a caller sends "Token north-key" to the route "desk"
     Then the call goes to the back end for "north"
 
-  Scenario: A limit that is taken away binds no longer
-    Given a proxy whose tenants "north" and "south" may make 2 calls a second each
-    When its relay tells it to let in nothing of "north"
-    And the limit of "north" is taken away
-    And a caller shows "Token north-key" on the route "desk"
+  Scenario: A removed limit no longer applies
+    Given a proxy whose tenants "north" and "south" have a limit of 2 calls a second each
+    When its relay tells it to admit no calls of "north"
+    And the limit of "north" is removed
+    And a caller sends "Token north-key" to the route "desk"
     Then the call goes to the back end for "north"
 
-  Scenario: Calls that no back end ran don't fill a limit
-    # A full fleet refuses calls, and their callers come again. Counted each time, a tenant well below
-    # its limit was refused by it for as long as the fleet was full.
-    # Out of touch, a proxy keeps to nine tenths of a limit.
-    Given the limit of 20 calls in a window at a proxy that hears of no other
-    When it is asked for 30 calls that are all not run
-    And it is asked for 30 calls that are all run
-    Then it has let 48 calls in
-    And it refuses the next one
+  Scenario: Calls that were not run do not use up the limit
+    # Otherwise retries of calls that an overloaded fleet refuses would use up the limit of a tenant
+    # well below it. Without relay updates a proxy admits nine tenths of a limit.
+    Given a proxy that gets no relay updates, with a limit of 20 calls per window
+    When the proxy gets 30 calls that are then not run
+    And the proxy gets 30 calls that are then run
+    Then the proxy has admitted 48 calls
+    And the proxy refuses the next call
 
-  Scenario: What a tenant at its limit may do goes to calls that can be answered in time
-    # Callers whom a limit had refused came back late, took the place of fresh ones, and these came
-    # back late in their turn: a tenant over its limit got half of it in late answers.
-    Given a tenant that asks for twice what its relay lets in
-    When for 5 seconds each fresh call is followed by one that comes back late
-    Then half of the fresh calls are let in, and none that comes back late
-    When its relay tells that there is room again
-    Then a call that comes back late is let in
+  Scenario: A tenant at its limit has first attempts admitted before late retries
+    # Otherwise late retries take the place of first attempts, which then become late retries
+    # themselves.
+    Given a tenant that sends twice as many calls as its relay admits
+    When for 5 seconds each first attempt is followed by a late retry
+    Then half of the first attempts are admitted, and no late retry
+    When its relay reports that no tenant is near its limit any more
+    Then a late retry is admitted
--- a/features/steps/balancing_steps.py
+++ b/features/steps/balancing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the choice of endpoints: load, zones, cold starts, ejection, endpoint news, limits."""
+"""Steps for endpoint selection: load, zones, slow start, ejection, updates and group limits."""
 
 from __future__ import annotations
 
@@ -70,8 +70,8 @@
     assert zone in context.zones, context.zones
 
 
-@when("relays tell the balancer of a load of {load:d} at two of them")
-def relays_tell(context: Context, load: int) -> None:
+@when("relays report a load of {load:d} for the first two endpoints")
+def relays_report_loads(context: Context, load: int) -> None:
     for entry in context.usable[:2]:
         number = endpoint_hash(entry.key.service, entry.key.instance)
         key = context.view.by_hash(number)
@@ -79,14 +79,14 @@
         context.balancer.observe_zone_load(key, load, 0.0)
 
 
-@given("calls that each take {seconds:g} seconds at all of them")
-def given_service_times(context: Context, seconds: float) -> None:
+@given("each endpoint has reported a service time of {seconds:g} seconds")
+def report_service_times(context: Context, seconds: float) -> None:
     for entry in context.usable:
         context.balancer.observe_load(entry.key, 0, 0.0, seconds)
 
 
-@when("{count:d} calls are chosen one at a time")
-def chosen_one_at_a_time(context: Context, count: int) -> None:
+@when("endpoints are picked for {count:d} calls, one after the other")
+def pick_for_calls(context: Context, count: int) -> None:
     for number in range(count):
         now = 20.0 + number * 0.1
         for entry in context.usable[:2]:
@@ -95,18 +95,18 @@
         context.zones.append(entry.zone)
 
 
-@then('less than a third of them are in zone "{zone}"')
+@then('less than a third of the calls are in zone "{zone}"')
 def less_than_a_third(context: Context, zone: str) -> None:
     assert context.zones.count(zone) < len(context.zones) / 3, Counter(context.zones)
 
 
-@then("all of the balancer's calls are at the third")
+@then("all of the balancer's calls are at the third endpoint")
 def all_at_third(context: Context) -> None:
     third = context.usable[2].key
     assert context.balancer.in_flight(third) == len(context.zones)
 
 
-@given("a warm endpoint and one that has just appeared")
+@given("a warm endpoint and a cold one")
 def warm_and_cold(context: Context) -> None:
     context.view = view_of(agents(1, slots=40))
     context.view.apply(EndpointUpdate(endpoints=agents(1, slots=40, first=1)), 50.0)
@@ -125,16 +125,16 @@
 
 
 @then("the cold endpoint gets less than a third of the calls at first")
-def cold_gets_little(context: Context) -> None:
+def cold_gets_less_than_third(context: Context) -> None:
     assert share_of_cold(context, 50.5) < 1 / 3
 
 
-@then("the cold endpoint gets about half of the calls after its ramp")
-def warm_gets_half(context: Context) -> None:
+@then("the cold endpoint gets about half of the calls after its slow start")
+def cold_gets_half(context: Context) -> None:
     assert 0.4 <= share_of_cold(context, 61.0) <= 0.6
 
 
-@given("any outcomes of calls, the balancer keeps half of the endpoints in use")
+@given("any call outcomes, at least half of the endpoints stay in use")
 def ejection_floor(context: Context) -> None:
     outcomes = st.lists(st.tuples(st.integers(0, 9), st.sampled_from([-3, 1, 5, 8])), max_size=40)
 
@@ -163,8 +163,8 @@
     context.balancer = balancer_of()
 
 
-@then("the balancer leaves the failing endpoint out, and tries it again later")
-def left_out_then_tried(context: Context) -> None:
+@then("the balancer ejects the failing endpoint, and tries it again later")
+def ejected_then_retried(context: Context) -> None:
     balancer, usable = context.balancer, context.usable
     failing = usable[0].key
     for _ in range(HealthSettings().failures_to_eject):
@@ -179,20 +179,20 @@
     assert again > ejected
 
 
-NEWS_STATES = (ENDPOINT_STATE_READY, ENDPOINT_STATE_DRAINING, ENDPOINT_STATE_GONE)
+ENDPOINT_STATES = (ENDPOINT_STATE_READY, ENDPOINT_STATE_DRAINING, ENDPOINT_STATE_GONE)
 
 
-@given("any order of endpoint news, the newest wins and a drained incarnation stays out")
-def endpoint_news(context: Context) -> None:
-    news = st.tuples(st.integers(1, 3), st.integers(1, 3), st.sampled_from(NEWS_STATES))
+@given("endpoint updates in any order, the newest wins and a drained incarnation stays unusable")
+def endpoint_updates_in_any_order(context: Context) -> None:
+    updates = st.tuples(st.integers(1, 3), st.integers(1, 3), st.sampled_from(ENDPOINT_STATES))
 
     @derandomized
-    @examples(st.lists(news, min_size=1, max_size=12), st.randoms(use_true_random=False))
+    @examples(st.lists(updates, min_size=1, max_size=12), st.randoms(use_true_random=False))
     def check(plan: list[tuple[int, int, int]], shuffler: random.Random) -> None:
         states: dict[tuple[int, int], int] = {}
         for incarnation, sequence, state in plan:
             states.setdefault((incarnation, sequence), state)
-        messages = [news_of(*age, state) for age, state in states.items()] * 2
+        messages = [update_of(*age, state) for age, state in states.items()] * 2
         shuffler.shuffle(messages)
         view = EndpointView()
         for message in messages:
@@ -209,44 +209,44 @@
     check()
 
 
-@given("an endpoint of which another relay has told newer news")
-def told_newer(context: Context) -> None:
-    context.view = view_of([news_of(1, 5, ENDPOINT_STATE_READY)])
+@given("an endpoint for which another relay has sent a newer update")
+def newer_update_from_other_relay(context: Context) -> None:
+    context.view = view_of([update_of(1, 5, ENDPOINT_STATE_READY)])
 
 
-@then("older news that its incarnation drains takes it out for good")
-def old_drain(context: Context) -> None:
-    context.view.apply(EndpointUpdate(endpoints=[news_of(1, 3, ENDPOINT_STATE_DRAINING)]), 1.0)
+@then("an older update that its incarnation is draining makes it unusable for good")
+def older_draining_update(context: Context) -> None:
+    context.view.apply(EndpointUpdate(endpoints=[update_of(1, 3, ENDPOINT_STATE_DRAINING)]), 1.0)
     assert context.view.usable(SERVICE, 1.0) == ()
-    context.view.apply(EndpointUpdate(endpoints=[news_of(1, 6, ENDPOINT_STATE_READY)]), 2.0)
+    context.view.apply(EndpointUpdate(endpoints=[update_of(1, 6, ENDPOINT_STATE_READY)]), 2.0)
     assert context.view.usable(SERVICE, 2.0) == ()
 
 
-@then("the next incarnation takes work")
+@then("its next incarnation is usable")
 def next_incarnation(context: Context) -> None:
-    context.view.apply(EndpointUpdate(endpoints=[news_of(2, 1, ENDPOINT_STATE_READY)]), 3.0)
+    context.view.apply(EndpointUpdate(endpoints=[update_of(2, 1, ENDPOINT_STATE_READY)]), 3.0)
     assert len(context.view.usable(SERVICE, 3.0)) == 1
 
 
-@given("an endpoint whose lease ended at a relay that hears nothing")
-def ended_lease(context: Context) -> None:
-    context.view = view_of([news_of(1, 5, ENDPOINT_STATE_READY)])
-    context.view.apply(EndpointUpdate(endpoints=[news_of(1, 5, ENDPOINT_STATE_GONE)]), 1.0)
+@given("an endpoint whose lease has expired at a partitioned relay")
+def expired_lease(context: Context) -> None:
+    context.view = view_of([update_of(1, 5, ENDPOINT_STATE_READY)])
+    context.view.apply(EndpointUpdate(endpoints=[update_of(1, 5, ENDPOINT_STATE_GONE)]), 1.0)
 
 
-@then("news as old as its end does not bring it back")
+@then("an update no newer than its removal does not bring it back")
 def not_brought_back(context: Context) -> None:
-    context.view.apply(EndpointUpdate(endpoints=[news_of(1, 5, ENDPOINT_STATE_READY)]), 2.0)
+    context.view.apply(EndpointUpdate(endpoints=[update_of(1, 5, ENDPOINT_STATE_READY)]), 2.0)
     assert context.view.usable(SERVICE, 2.0) == ()
 
 
 @then("its newer registration at another relay brings it back")
 def brought_back(context: Context) -> None:
-    context.view.apply(EndpointUpdate(endpoints=[news_of(1, 6, ENDPOINT_STATE_READY)]), 3.0)
+    context.view.apply(EndpointUpdate(endpoints=[update_of(1, 6, ENDPOINT_STATE_READY)]), 3.0)
     assert len(context.view.usable(SERVICE, 3.0)) == 1
 
 
-def news_of(incarnation: int, sequence: int, state: int) -> Endpoint:
+def update_of(incarnation: int, sequence: int, state: int) -> Endpoint:
     endpoint = agents(1)[0]
     endpoint.incarnation, endpoint.sequence = incarnation, sequence
     endpoint.state = state
@@ -258,7 +258,7 @@
     context.view = view_of(agents(count))
 
 
-@when("a full update names {count:d} of them")
+@when("a full update lists only {count:d} of them")
 def full_update(context: Context, count: int) -> None:
     context.view.apply(EndpointUpdate(full=True, endpoints=agents(count)), 5.0)
 
@@ -269,8 +269,8 @@
     assert len(context.view.usable(SERVICE, 5.0 + UNLISTED_GRACE_SECONDS)) == 1
 
 
-@given("any calls of three groups, the bounds hold and a group under its share finds room")
-def group_bounds(context: Context) -> None:
+@given("any calls of three groups, the limits hold and a group below its share is admitted")
+def group_limits(context: Context) -> None:
     steps = st.lists(st.tuples(st.integers(0, 2), st.integers(-5, 20)), max_size=30)
 
     @derandomized
@@ -291,7 +291,7 @@
 
 
 def check_admission(limits: GroupLimits, key: ShareKey, held: Counter[int], group: int) -> None:
-    """Near the bound, exactly the groups that hold their share of those active are refused."""
+    """Near the limit, exactly the groups that have used up their share are refused."""
     total = sum(held.values())
     active = sum(1 for count in held.values() if count)
     over_share = held[group] and held[group] >= 20 // active
@@ -301,8 +301,8 @@
     assert (refusal is not None) == expected, (held, group)
 
 
-@given("two endpoints, one flooded with short calls and one with a few long ones")
-def given_two_mixes(context: Context) -> None:
+@given("two endpoints, one with many short calls and one with a few long calls")
+def endpoints_with_call_mixes(context: Context) -> None:
     endpoints = [agents(1, "here", 12, number)[0] for number in range(2)]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     flooded, other = (entry.key for entry in context.usable)
@@ -314,30 +314,27 @@
     context.other = other
 
 
-@then(
-    "the balancer sends a short call to the one with few, though its calls take longer on average"
-)
-def then_short_to_other(context: Context) -> None:
+@then("a short call goes to the endpoint with few calls, though its average service time is longer")
+def short_call_goes_to_other(context: Context) -> None:
     chosen = [context.balancer.pick(context.usable, 1.0, route="short").key for _ in range(20)]
     assert set(chosen) == {context.other}, chosen
 
 
-@when('the balancer\'s route "{name}" is gone')
-def when_route_gone(context: Context, name: str) -> None:
+@when('the route "{name}" is removed from the balancer')
+def remove_route(context: Context, name: str) -> None:
     context.balancer.keep_only_routes(frozenset({"short", "long"} - {name}))
 
 
-@then('the balancer holds times of no route but "{name}"')
-def then_only_route(context: Context, name: str) -> None:
+@then('the balancer has service times only for the route "{name}"')
+def only_route_has_service_times(context: Context, name: str) -> None:
     held = {n for health in context.balancer._health.values() for n in health.service_time_by_route}
     assert held == {name}, held
 
 
 @given(
-    "an endpoint of the own zone that takes {own:d} ms and one elsewhere that takes {other:d}, "
-    "both idle"
+    "an idle local endpoint that takes {own:d} ms and an idle remote one that takes {other:d} ms"
 )
-def given_slow_at_home(context: Context, own: int, other: int) -> None:
+def local_and_remote_endpoint(context: Context, own: int, other: int) -> None:
     endpoints = [agents(1, zone, 12, number)[0] for number, zone in enumerate(("here", "there"))]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     context.balancer = balancer_of()
@@ -346,8 +343,8 @@
         context.balancer.observe_load(entry.key, 0, 1.0, seconds)
 
 
-@then("a {kind:w} call with {target:d} ms to its target goes {where}")
-def then_goes(context: Context, kind: str, target: int, where: str) -> None:
+@then("a {kind:w} call with {target:d} ms to its latency target goes {where}")
+def call_goes(context: Context, kind: str, target: int, where: str) -> None:
     within = target / 1000 * (SMALL_PART if kind == "light" else USUAL_PART)
     balancer = context.balancer
     picked = balancer.pick(context.usable, 1.0, local_budget=within, small=kind == "light")
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps for overload: zones lost, floods, spill-over, cold and slow back ends, in virtual time."""
+"""Steps for overload in virtual time: lost zones, floods, spill-over, cold and slow back ends."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from limelever.common.errors import Failure, Outcome
 from limelever.proxy.call_types import CallAnswer
 
-SETTLING = 3.0
-"""Seconds after the last arrival: longer than any call may take."""
+SETTLING_SECONDS = 3.0
+"""Time after the last arrival in which every call ends."""
 
 HTTP_OK = 200
-COLD = "agent-a-cold"
-SLOW = "agent-a-0"
+COLD_AGENT = "agent-a-cold"
+SLOW_AGENT = "agent-a-0"
 """The agent whose back end is slow or fails."""
 
 
-def named_numbers(text: str) -> dict[str, int]:
+def parse_numbers(text: str) -> dict[str, int]:
     pairs = (pair.split("=") for pair in text.split(", "))
     return {name: int(number) for name, number in pairs}
 
@@ -35,8 +35,8 @@
 
 @given("a mesh bench of two zones with weights {weights}")
 def mesh_of_two_zones(context: Context, weights: str) -> None:
-    context.groups = tuple(named_numbers(weights))
-    context.mesh = MeshBench(named_numbers(weights))
+    context.groups = tuple(parse_numbers(weights))
+    context.mesh = MeshBench(parse_numbers(weights))
     context.lost_at = context.mesh.now
 
 
@@ -70,31 +70,31 @@
 
 @when("a cold agent joins zone {zone:S} of the mesh bench")
 def add_cold(context: Context, zone: str) -> None:
-    context.mesh.add_agent(COLD, zone)
+    context.mesh.add_agent(COLD_AGENT, zone)
     context.joined_at = context.mesh.now
 
 
 @when("an agent of zone a of the mesh bench becomes {factor:d} times slower")
 def slow_down(context: Context, factor: int) -> None:
-    context.mesh.slow[SLOW] = factor * SERVICE_SECONDS
+    context.mesh.slow[SLOW_AGENT] = factor * SERVICE_SECONDS
 
 
 @when("an agent of zone a of the mesh bench fails every call at once")
 def fail_at_once(context: Context) -> None:
-    context.mesh.failing.add(SLOW)
+    context.mesh.failing.add(SLOW_AGENT)
 
 
 @then("fewer than {percent:d} percent of the mesh bench's calls failed")
 def check_failed(context: Context, percent: int) -> None:
-    context.mesh.run(SETTLING)
+    context.mesh.run(SETTLING_SECONDS)
     answers = [result.answer for result in served(context.mesh.results)]
     failed = sum(answer.status != HTTP_OK for answer in answers)
     assert 0 < failed * 100 < percent * len(answers), (failed, len(answers))
 
 
 def after_loss(context: Context) -> list[CallResult]:
-    """The calls that arrived from two seconds after the loss on, all ended."""
-    context.mesh.run(SETTLING)
+    """Return the calls that arrived from two seconds after the loss on; all must have ended."""
+    context.mesh.run(SETTLING_SECONDS)
     since = context.lost_at + 2.0
     ended = context.mesh.ended(since, context.offered_until)
     assert len(ended) == sum(
@@ -114,10 +114,10 @@
 
 
 @then("the groups of the mesh bench are served {rates} a second, within {percent:d} percent")
-def check_parts(context: Context, rates: str, percent: int) -> None:
+def check_shares(context: Context, rates: str, percent: int) -> None:
     seconds = context.offered_until - context.lost_at - 2.0
     counts = Counter(result.group for result in served(after_loss(context)))
-    for group, rate in named_numbers(rates).items():
+    for group, rate in parse_numbers(rates).items():
         measured = counts[group] / seconds
         assert abs(measured - rate) * 100 <= percent * rate, (group, measured)
 
@@ -148,7 +148,7 @@
 
 @then("the mesh bench refuses nothing")
 def check_nothing_refused(context: Context) -> None:
-    context.mesh.run(SETTLING)
+    context.mesh.run(SETTLING_SECONDS)
     assert not refusals(context.mesh.results)
 
 
@@ -159,26 +159,26 @@
     assert low * starts.total() <= 100 * there <= high * starts.total(), starts
 
 
-def part_of_cold(context: Context, since: float, until: float) -> float:
-    """The cold agent's part of the attempts in zone a within a time."""
+def cold_agent_share(context: Context, since: float, until: float) -> float:
+    """Return the cold agent's share of the attempts in zone a between two times."""
     started = [name for at, name in context.mesh.started if since <= at < until]
     in_zone = [name for name in started if name.startswith("agent-a-")]
-    return in_zone.count(COLD) / len(in_zone)
+    return in_zone.count(COLD_AGENT) / len(in_zone)
 
 
 @then("the cold agent got less than {percent:d} percent of zone a's calls in its first 2 seconds")
 def check_cold(context: Context, percent: int) -> None:
-    part = part_of_cold(context, context.joined_at, context.joined_at + 2.0)
-    assert 0 < part * 100 < percent, part
+    share = cold_agent_share(context, context.joined_at, context.joined_at + 2.0)
+    assert 0 < share * 100 < percent, share
 
 
 @then("the cold agent got at least {percent:d} percent of zone a's calls in its last 5 seconds")
 def check_warm(context: Context, percent: int) -> None:
-    part = part_of_cold(context, context.offered_until - 5.0, context.offered_until)
-    assert part * 100 >= percent, part
+    share = cold_agent_share(context, context.offered_until - 5.0, context.offered_until)
+    assert share * 100 >= percent, share
 
 
 @then("the slow agent of the mesh bench got less than {percent:d} percent of the calls")
 def check_slow(context: Context, percent: int) -> None:
     starts = context.mesh.starts
-    assert starts[SLOW] * 100 < percent * starts.total(), starts
+    assert starts[SLOW_AGENT] * 100 < percent * starts.total(), starts
--- a/features/steps/prior_wait_steps.py
+++ b/features/steps/prior_wait_steps.py
@@ -1,4 +1,4 @@
-"""Steps for callers that come back: how long they had waited, and what room they get."""
+"""Steps for retrying callers: the estimate of their prior wait, and their place in the queue."""
 
 from __future__ import annotations
 
@@ -17,56 +17,54 @@
 
 
 @given(
-    "callers of a route of whom {usual:d} in 100 name {named:d} ms, and the others any time below"
+    "callers of a route of whom {common:d} in 100 send a timeout of {timeout:d} ms, and the "
+    "others a shorter one"
 )
-def given_callers(context, usual, named):
-    context.waits = PriorWaitEstimator()
+def given_callers(context, common, timeout):
+    context.estimator = PriorWaitEstimator()
     drawn = random.Random(SEED)
     for _ in range(CALLS):
-        fresh = drawn.randrange(100) < usual
-        milliseconds = named if fresh else drawn.randrange(1, named)
-        context.waits.observe(ROUTE, milliseconds / 1000)
+        is_common = drawn.randrange(100) < common
+        milliseconds = timeout if is_common else drawn.randrange(1, timeout)
+        context.estimator.observe(ROUTE, milliseconds / 1000)
 
 
 @given(
-    "callers of a route with a patience of {least:d} to {most:d} ms, of whom {back:d} in 100 come "
-    "back after a third of it"
+    "callers of a route with timeouts of {least:d} to {most:d} ms, of whom {retrying:d} in 100 "
+    "retry after a third of theirs"
 )
-def given_patient_callers(context, least, most, back):
-    context.waits = PriorWaitEstimator()
+def given_callers_with_timeouts(context, least, most, retrying):
+    context.estimator = PriorWaitEstimator()
     drawn = random.Random(SEED)
     for _ in range(CALLS):
         milliseconds = drawn.randint(least, most)
-        if drawn.randrange(100) < back:
+        if drawn.randrange(100) < retrying:
             milliseconds = milliseconds * 2 // 3
-        context.waits.observe(ROUTE, milliseconds / 1000)
+        context.estimator.observe(ROUTE, milliseconds / 1000)
 
 
-@when("{count:d} callers name {named:d} ms")
-def when_callers_name(context, count, named):
+@when("{count:d} callers send a timeout of {timeout:d} ms")
+def when_callers_send(context, count, timeout):
     for _ in range(count):
-        context.waits.observe(ROUTE, named / 1000)
+        context.estimator.observe(ROUTE, timeout / 1000)
 
 
-@when("a caller names {named:d} ms")
-def when_caller_names(context, named):
-    context.waited = context.waits.observe(ROUTE, named / 1000)
+@when("a caller sends a timeout of {timeout:d} ms")
+def when_caller_sends(context, timeout):
+    context.estimate = context.estimator.observe(ROUTE, timeout / 1000)
 
 
-@then("it is taken to have waited for {least:d} to {most:d} ms")
-def then_waited_about(context, least, most):
-    assert least <= context.waited * 1000 <= most, context.waited
+@then("its prior wait is estimated as {least:d} to {most:d} ms")
+def then_estimate_between(context, least, most):
+    assert least <= context.estimate * 1000 <= most, context.estimate
 
 
-@then("it is taken to have waited for {waited:d} ms")
-def then_waited(context, waited):
-    assert round(context.waited * 1000) == waited, context.waited
+@then("its prior wait is estimated as {estimate:d} ms")
+def then_estimate(context, estimate):
+    assert round(context.estimate * 1000) == estimate, context.estimate
 
 
-@given(
-    "a queue full of calls of {service:d} ms, in which a fresh call would have to wait for "
-    "{wait:d} ms"
-)
+@given("a full queue of calls of {service:d} ms each, with an expected wait of {wait:d} ms")
 def given_wait(context, service, wait):
     groups = GroupTable(1, 32)
     context.group = GroupQueue(ROUTE, 1)
@@ -80,11 +78,11 @@
     return context.estimate.is_too_long(context.group, call, 0.0, context.wait)
 
 
-@then("a call whose target is {target:d} ms away is taken")
-def then_taken(context, target):
+@then("a call with {target:d} ms to its latency target is queued")
+def then_queued(context, target):
     assert not is_refused(context, target / 1000)
 
 
-@then("a call whose target is past is refused")
+@then("a call past its latency target is refused")
 def then_refused(context):
     assert is_refused(context, -0.1)
--- a/features/steps/proxy_quarantine_steps.py
+++ b/features/steps/proxy_quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a proxy's core and requests under which back ends have ended."""
+"""Steps for a proxy core that quarantines requests which crash back ends."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     return Fingerprint.of(SERVICE, method.encode(), target.encode(), body)
 
 
-def tell(host: ProxyHost, news: CrashNews) -> None:
+def send_news(host: ProxyHost, news: CrashNews) -> None:
     link = next(c for c, dial in host.links.items() if dial.purpose is Purpose.SUBSCRIPTION)
     host.post(MessageReceived(link, news))
 
 
-def tell_crashes(host: ProxyHost, request: Fingerprint, count: int) -> None:
+def send_crashes(host: ProxyHost, request: Fingerprint, count: int) -> None:
     evidence = Evidence()
     for crash in range(count):
         evidence.crashed((Suspected(request, crash),), crash + 1, host.now)
-    tell(host, evidence.news((request.request,), host.now))
+    send_news(host, evidence.news((request.request,), host.now))
 
 
-def told(host: ProxyHost) -> list[Suspect]:
+def reported_suspects(host: ProxyHost) -> list[Suspect]:
     return [each for news in host.crash_news for each in news.suspects]
 
 
@@ -45,29 +45,29 @@
     context.proxy.start()
 
 
-@when('the relay tells the proxy of {count:d} crashes under "{target}"')
-def relay_tells(context: Context, count: int, target: str) -> None:
-    tell_crashes(context.proxy, fingerprint(target), count)
+@when('the relay reports {count:d} crashes on "{target}" to the proxy')
+def relay_reports(context: Context, count: int, target: str) -> None:
+    send_crashes(context.proxy, fingerprint(target), count)
 
 
-@when("the relay tells the proxy of {count:d} crashes under the order of a caller")
-def relay_tells_order(context: Context, count: int) -> None:
-    tell_crashes(context.proxy, fingerprint("/place/1", "POST"), count)
+@when("the relay reports {count:d} crashes on a caller's order to the proxy")
+def relay_reports_order(context: Context, count: int) -> None:
+    send_crashes(context.proxy, fingerprint("/place/1", "POST"), count)
 
 
-@when("the relay tells the proxy of {count:d} crashes under an upload of {size:d} bytes")
-def relay_tells_upload(context: Context, count: int, size: int) -> None:
+@when("the relay reports {count:d} crashes on an upload of {size:d} bytes to the proxy")
+def relay_reports_upload(context: Context, count: int, size: int) -> None:
     body = bytes(range(256)) * (size // 256)
-    tell_crashes(context.proxy, fingerprint("/orders/photo", "POST", body), count)
+    send_crashes(context.proxy, fingerprint("/orders/photo", "POST", body), count)
 
 
-@when("a relay that has just started tells all it knows, which is nothing")
-def relay_is_new(context: Context) -> None:
-    tell(context.proxy, CrashNews(full=True))
+@when("a relay that has just restarted sends full but empty crash news")
+def relay_restarted(context: Context) -> None:
+    send_news(context.proxy, CrashNews(full=True))
 
 
-@when("the back end of the call ends as crash {crash:d}")
-def back_end_ends(context: Context, crash: int) -> None:
+@when("the back end of the call crashes with crash number {crash:d}")
+def back_end_crashes(context: Context, crash: int) -> None:
     host: ProxyHost = context.proxy
     connection, start = host.open[-1]
     failed = CallFailed(
@@ -79,34 +79,38 @@
     host.reply(connection, failed)
 
 
-@then('the relay was told by the proxy of {count:d} crashes under "{target}"')
-def relay_was_told(context: Context, count: int, target: str) -> None:
-    last = [s for s in told(context.proxy) if s.request == fingerprint(target).request][-1]
+@then('the proxy reported {count:d} crashes on "{target}" to the relay')
+def proxy_reported(context: Context, count: int, target: str) -> None:
+    last = [
+        s for s in reported_suspects(context.proxy) if s.request == fingerprint(target).request
+    ][-1]
     assert len(last.crashes) == count and not last.cleared, last
 
 
-@then('the relay was told by the proxy that {count:d} crashes under "{target}" are cleared')
-def relay_was_told_cleared(context: Context, count: int, target: str) -> None:
-    last = [s for s in told(context.proxy) if s.request == fingerprint(target).request][-1]
+@then('the proxy reported to the relay that {count:d} crashes on "{target}" are cleared')
+def proxy_reported_cleared(context: Context, count: int, target: str) -> None:
+    last = [
+        s for s in reported_suspects(context.proxy) if s.request == fingerprint(target).request
+    ][-1]
     assert len(last.cleared) == count and last.crashes == last.cleared, last
 
 
-@then("the caller of call {call:d} was told to come back after {seconds:d} seconds or later")
-def come_back_late(context: Context, call: int, seconds: int) -> None:
+@then("the caller of call {call:d} was told to retry after {seconds:d} seconds or later")
+def told_to_retry_late(context: Context, call: int, seconds: int) -> None:
     assert context.proxy.refusal(call).retry_after >= seconds, context.proxy.refusal(call)
 
 
-@then("the agent was asked to give up {count:d} call unless it has begun")
-def asked_to_give_up(context: Context, count: int) -> None:
+@then("the agent was asked to cancel {count:d} call unless it has begun")
+def asked_to_cancel(context: Context, count: int) -> None:
     assert context.proxy.cancels_unless_begun == count
 
 
-@then("the call that is open tells its agent of {depth:d} ends in a row")
-def tells_depth(context: Context, depth: int) -> None:
+@then("the open call tells its agent of {depth:d} previous crashes in a row")
+def start_has_depth(context: Context, depth: int) -> None:
     _, start = context.proxy.open[-1]
     assert start.known_depth == depth, start
 
 
-@then("no key was claimed")
-def none_claimed(context: Context) -> None:
+@then("no idempotency key was claimed")
+def no_key_claimed(context: Context) -> None:
     assert not context.proxy.keepers.claims
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -185,7 +185,7 @@
         for crash in range(crashes):
             evidence.crashed((Suspected(REQUEST, crash),), crash + 1, 0.0)
         for each in self.all:
-            each.take(evidence.news((REQUEST.request,), 0.0), 0.0)
+            each.apply_news(evidence.news((REQUEST.request,), 0.0), 0.0)
         self.calls = 0
 
     def come(self, proxy: int, now: float) -> bool:
@@ -203,7 +203,7 @@
         for found in [o for outputs in self.outputs for o in outputs]:
             if isinstance(found, SendCrashNews):
                 for each in self.all:
-                    each.take(found.news, now)
+                    each.apply_news(found.news, now)
         for outputs in self.outputs:
             outputs.clear()
 
@@ -225,8 +225,8 @@
         now += context.gap
     print(f"answered again after {now:.1f} s")
     assert least <= now <= most, now
-    proxies.all[proxy].answered(proxies.call, 200, now)
-    proxies.all[proxy].ended(proxies.call)
+    proxies.all[proxy].record_answer(proxies.call, 200, now)
+    proxies.all[proxy].release_trial(proxies.call)
     proxies.tell_others(now)
     assert all(proxies.come(each, now + NEWS_DELAY) for each in range(len(proxies.all)))
 
@@ -239,8 +239,8 @@
         if proxies.come(proxy, now):
             reached += 1
             crash = AttemptEnded(proxies.call, CRASHED, 100 + reached, 3)
-            proxies.all[proxy].crashed(crash, now)
-            proxies.all[proxy].ended(proxies.call)
+            proxies.all[proxy].record_crash(crash, now)
+            proxies.all[proxy].release_trial(proxies.call)
             proxies.tell_others(now)
         now += context.gap
     assert reached == count, reached
--- a/features/steps/limits_ways.py
+++ b/features/steps/rate_limit_alternatives.py
@@ -1,14 +1,14 @@
-"""Other ways to keep limits over a fleet, to compare on the same load and seeds.
+"""Alternative rate limiting schemes, compared with the product's on the same load and seeds.
 
-``FractionBoard`` plans by what is asked alone, without a window. ``LeaseBoard`` leases rates to
-proxies, which sum to no more than the limit whatever is lost.
+``FractionBoard`` plans by current demand alone, without a window of past use. ``LeaseBoard`` leases
+rates to proxies, whose sum never exceeds the limit whatever messages are lost.
 """
 
 from __future__ import annotations
 
 import random
 
-from limits_fleet import LimitsFleet
+from rate_limit_fleet import RateLimitFleet
 
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import SendMessage
@@ -39,22 +39,22 @@
     def _plan(self, now: float) -> LimitNews:
         news = LimitNews(proxies=self._in_touch.fleet)
         for tenant, limit in self._limits.items():
-            parts = self._others.with_own(tenant, self._own.get(tenant))
-            asked = sum(use.asked_rate(now) for use in parts)
+            uses = self._others.with_own(tenant, self._own.get(tenant))
+            demand = sum(use.asked_rate(now) for use in uses)
             allowed = self._rules.aim(limit) / self._rules.window
-            if asked > allowed:
+            if demand > allowed:
                 news.tenants.append(tenant)
-                news.permille.append(int(1000 * allowed / asked))
+                news.permille.append(int(1000 * allowed / demand))
         return news
 
 
-LEASE = 2.0
-RENEWAL = 0.25
+LEASE_SECONDS = 2.0
+RENEWAL_SECONDS = 0.25
 _HEADROOM = 1.3
 
 
 class LeaseLimits(TenantLimits):
-    """Lets calls in by leased rates; ``permille`` of the news is a rate in calls per 1000 s."""
+    """Admits calls by leased rates; ``permille`` in an update is a rate in calls per 1000 s."""
 
     def __init__(self, rules: LimitRules, random_source: random.Random) -> None:
         super().__init__(rules, random_source)
@@ -66,13 +66,13 @@
         if number is None:
             return None
         limit = Limit(tenant.rate, tenant.burst)
-        rate, until = self._rates.get(number, (0.0, 0.0))
-        equal = self._rules.aim(limit) / max(1, self._node_count)
-        if now > until:
-            rate = equal / self._rules.window
-        most = 1.0 + self._rules.slack / max(1, self._node_count) + rate
-        tokens, at = self._tokens.get(number, (min(1.0, most), now))
-        tokens = min(most, tokens + rate * (now - at))
+        rate, expires_at = self._rates.get(number, (0.0, 0.0))
+        equal_share = self._rules.aim(limit) / max(1, self._node_count)
+        if now > expires_at:
+            rate = equal_share / self._rules.window
+        max_rate = 1.0 + self._rules.slack / max(1, self._node_count) + rate
+        tokens, at = self._tokens.get(number, (min(1.0, max_rate), now))
+        tokens = min(max_rate, tokens + rate * (now - at))
         self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
         self._record_decision(number, tokens >= 1)
         self._gates[number].use.add(now, int(tokens >= 1), int(tokens < 1))
@@ -80,18 +80,20 @@
 
     def apply_news(self, news, now):
         for number, rate in zip(news.tenants, news.permille, strict=True):
-            self._rates[number] = (rate / 1000, now + LEASE)
+            self._rates[number] = (rate / 1000, now + LEASE_SECONDS)
 
 
 class LeaseBoard(LimitBoard):
-    """Leases out each limit's rate by what proxies ask for; a lease that was told counts until it
-    has run out."""
+    """Leases each limit's rate to proxies in proportion to their demand.
+
+    A lease that was sent counts until it expires.
+    """
 
     def __init__(self, rules: LimitRules) -> None:
         super().__init__(rules)
-        self._asked: dict[int, dict[str, UseWindow]] = {}
+        self._demand: dict[int, dict[str, UseWindow]] = {}
         self._leases: dict[int, dict[str, list[tuple[float, float]]]] = {}
-        self._begun_at: float | None = None
+        self._started_at: float | None = None
 
     def join_relay(self, relay, now):
         return []
@@ -100,17 +102,17 @@
         name = self._proxies.get(connection)
         if name is None:
             return
-        for told in self._news_in(f"proxy {name}", use, now):
-            by_name = self._asked.setdefault(told.tenant, {})
+        for reported in self._news_in(f"proxy {name}", use, now):
+            by_name = self._demand.setdefault(reported.tenant, {})
             window = by_name.setdefault(name, UseWindow(self._rules.window))
-            window.add(told.at, told.admitted, told.refused)
+            window.add(reported.at, reported.admitted, reported.refused)
 
     def on_deadline(self, now: float):
         if self.next_at is None or now < self.next_at:
             return []
-        self.next_at = now + RENEWAL
-        self._begun_at = now if self._begun_at is None else self._begun_at
-        if now - self._begun_at < LEASE:
+        self.next_at = now + RENEWAL_SECONDS
+        self._started_at = now if self._started_at is None else self._started_at
+        if now - self._started_at < LEASE_SECONDS:
             return []
         news = {name: LimitNews() for name in self._proxies.values()}
         for tenant, limit in self._limits.items():
@@ -118,27 +120,29 @@
         return [SendMessage(each, news[name]) for each, name in self._proxies.items()]
 
     def _lease(self, tenant: int, limit: Limit, news: dict[str, LimitNews], now: float) -> None:
-        most = self._rules.aim(limit) / self._rules.window
-        asked = self._asked.get(tenant, {})
-        wants = {name: _HEADROOM * use.asked_rate(now) for name, use in asked.items()}
-        scale = min(1.0, most / sum(wants.values())) if any(wants.values()) else 0.0
-        held = self._leases.setdefault(tenant, {})
-        for name in list(held):
-            held[name] = [lease for lease in held[name] if lease[1] > now]
-        out = {name: max((rate for rate, _ in each), default=0.0) for name, each in held.items()}
-        free = most - sum(out.values())
-        for name, want in wants.items():
-            if name not in news or want <= 0:
+        max_rate = self._rules.aim(limit) / self._rules.window
+        windows = self._demand.get(tenant, {})
+        demands = {name: _HEADROOM * use.asked_rate(now) for name, use in windows.items()}
+        scale = min(1.0, max_rate / sum(demands.values())) if any(demands.values()) else 0.0
+        leases = self._leases.setdefault(tenant, {})
+        for name in list(leases):
+            leases[name] = [lease for lease in leases[name] if lease[1] > now]
+        leased = {
+            name: max((rate for rate, _ in each), default=0.0) for name, each in leases.items()
+        }
+        available = max_rate - sum(leased.values())
+        for name, demand in demands.items():
+            if name not in news or demand <= 0:
                 continue
-            rate = min(want * scale, out.get(name, 0.0) + max(0.0, free))
-            free -= max(0.0, rate - out.get(name, 0.0))
-            held.setdefault(name, []).append((rate, now + LEASE + 0.1))
+            rate = min(demand * scale, leased.get(name, 0.0) + max(0.0, available))
+            available -= max(0.0, rate - leased.get(name, 0.0))
+            leases.setdefault(name, []).append((rate, now + LEASE_SECONDS + 0.1))
             news[name].tenants.append(tenant)
             news[name].permille.append(int(1000 * rate))
 
 
-class LeaseFleet(LimitsFleet):
-    """All proxies follow the first relay that is up."""
+class LeaseFleet(RateLimitFleet):
+    """A fleet whose proxies all follow the first running relay."""
 
-    def _near(self, proxy, usable):
+    def _candidates(self, proxy, usable):
         return usable[:1]
--- a/features/steps/limits_fleet.py
+++ b/features/steps/rate_limit_fleet.py
@@ -1,7 +1,7 @@
-"""Proxies and relays that keep limits together, in a small network under virtual time.
+"""Proxies and relays that share rate limits, on a simulated network in virtual time.
 
-Links carry messages in order; a lost one comes later, by its being sent again. A cut swallows
-messages, and both ends begin anew after it. Nothing but the shipped decisions is run.
+Links deliver messages in order; a lost message is delivered late, as if it was retransmitted. A
+partition drops messages, and both ends reconnect after it. All decisions are made by product code.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from limelever.proxy.tenants import TenantEntry
 from limelever.relay.limit_board import LimitBoard
 
-STEP = 0.01
-"""Seconds between two looks at timers; calls come at any time in between."""
+STEP_SECONDS = 0.01
+"""Time step of the simulation: timers are checked and calls arrive once per step."""
 
 ZONES = "abc"
 RELAY_ZONES = "aabbc"
@@ -43,45 +43,45 @@
     zone: str
     limits: TenantLimits
     relay: Relay | None = None
-    joins_at: float = 0.0
+    connects_at: float = 0.0
 
 
 @dataclass
 class Tenant:
-    """``usual`` and what it sends now in calls a second; weights are of the zones."""
+    """A tenant and its calls; rates in calls per second, ``weights`` by zone of the callers."""
 
     entry: TenantEntry
-    usual: float
-    sends: float
+    usual_rate: float
+    rate: float
     weights: tuple[float, ...] = (1.0, 1.0, 1.0)
-    by: Proxy | None = None
+    only_proxy: Proxy | None = None
     bucket: float = 0.0
     filled_at: float = 0.0
-    owed: list[float] = field(default_factory=list)
+    ideal: list[float] = field(default_factory=list)
     admitted: list[float] = field(default_factory=list)
-    asked: deque[float] = field(default_factory=deque)
+    recent: deque[float] = field(default_factory=deque)
     refused_at: list[float] = field(default_factory=list)
-    wronged: int = 0
+    refused_below_limit: int = 0
 
     @property
     def refused(self) -> int:
         return len(self.refused_at)
 
-    def ask(self, now: float) -> None:
-        """Note whether a call is owed: one bucket that knew of all calls would let it in."""
+    def count_ideal(self, now: float) -> None:
+        """Record whether one token bucket that sees all calls would admit this one."""
         earned = self.entry.rate * (now - self.filled_at)
         self.bucket = min(self.entry.burst, self.bucket + earned)
         self.filled_at = now
         if self.bucket >= 1:
             self.bucket -= 1
-            self.owed.append(now)
+            self.ideal.append(now)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         self.admitted.clear()
         self.refused_at.clear()
-        self.wronged = 0
+        self.refused_below_limit = 0
 
-    def limit_to(self, rate: float, burst: float) -> None:
+    def set_limit(self, rate: float, burst: float) -> None:
         self.entry = TenantEntry(self.entry.name, 0, rate, burst)
 
 
@@ -92,43 +92,48 @@
     zone_bytes: int = 0
 
 
-class LimitsFleet:
+class RateLimitFleet:
     def __init__(
         self,
         seed: int,
         tenants: Mapping[str, float],
         proxies: int = 60,
-        over_usual: float = 1.6,
-        make: Callable[[LimitRules, random.Random], TenantLimits] = TenantLimits,
+        limit_factor: float = 1.6,
+        make_limits: Callable[[LimitRules, random.Random], TenantLimits] = TenantLimits,
         make_board: Callable[[LimitRules], LimitBoard] = LimitBoard,
     ) -> None:
         self.random = random.Random(seed)
         self.rules = LimitRules()
         self.now = 1000.0
         self.delay, self.loss = 0.002, 0.0
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.traffic = Traffic()
         self.logs: list[int] = []
-        self._make, self._make_board = make, make_board
+        self._make_limits, self._make_board = make_limits, make_board
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._arrives: dict[tuple[str, str], float] = {}
         self.tenants = {
-            name: Tenant(TenantEntry(name, 0, usual * over_usual, usual * over_usual), usual, usual)
-            for name, usual in tenants.items()
+            name: Tenant(
+                TenantEntry(name, 0, usual_rate * limit_factor, usual_rate * limit_factor),
+                usual_rate,
+                usual_rate,
+            )
+            for name, usual_rate in tenants.items()
         }
         self.relays = [
             Relay(f"relay-{number}", zone, make_board(self.rules))
             for number, zone in enumerate(RELAY_ZONES)
         ]
         self.proxies = [
-            Proxy(f"proxy-{n}", ZONES[n % 3], make(self.rules, self.random)) for n in range(proxies)
+            Proxy(f"proxy-{n}", ZONES[n % 3], make_limits(self.rules, self.random))
+            for n in range(proxies)
         ]
         self.set_limits()
         for one, other in itertools.permutations(self.relays, 2):
-            self._relays_join(one, other)
+            self._connect_relays(one, other)
 
-    # --- what happens ----------------------------------------------------------------------
+    # --- actions --------------------------------------------------------------------------
 
     def set_limits(self) -> None:
         for relay in self.relays:
@@ -139,20 +144,20 @@
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            self.now += STEP
+            self.now += STEP_SECONDS
             self._deliver()
             for proxy in self.proxies:
-                self._proxy_turn(proxy)
+                self._run_proxy(proxy)
             for relay in self.relays:
-                self._relay_turn(relay)
-            self._calls()
+                self._run_relay(relay)
+            self._generate_calls()
 
     def kill_relay(self, relay: Relay) -> None:
         relay.down = True
         relay.board = self._make_board(self.rules)
         for proxy in self.proxies:
             if proxy.relay is relay:
-                self._leave(proxy, 0.05 + self.random.random())
+                self._disconnect(proxy, 0.05 + self.random.random())
         for other in self.relays:
             other.board.relay_lost(relay.name)
             other.board.leave(self._link(relay, other))
@@ -162,48 +167,48 @@
         self._configure_relay(relay)
         for other in self.relays:
             if other is not relay and not other.down:
-                self._relays_join(relay, other)
-                self._relays_join(other, relay)
+                self._connect_relays(relay, other)
+                self._connect_relays(other, relay)
 
     def restart_proxy(self, proxy: Proxy) -> None:
-        self._leave(proxy, 0.3)
-        proxy.limits = self._make(self.rules, self.random)
+        self._disconnect(proxy, 0.3)
+        proxy.limits = self._make_limits(self.rules, self.random)
         self._configure_proxy(proxy)
 
-    def cut(self, one: str, other: str) -> None:
-        """Let nothing more through between two machines, without a word."""
-        self.cuts.add(frozenset((one, other)))
+    def partition(self, one: str, other: str) -> None:
+        """Drop all messages between two machines, without closing their link."""
+        self.partitions.add(frozenset((one, other)))
 
-    def mend(self) -> None:
-        cuts, self.cuts = self.cuts, set()
+    def heal(self) -> None:
+        partitions, self.partitions = self.partitions, set()
         for one, other in itertools.permutations(self.relays, 2):
-            if frozenset((one.name, other.name)) in cuts and not (one.down or other.down):
+            if frozenset((one.name, other.name)) in partitions and not (one.down or other.down):
                 one.board.relay_lost(other.name)
-                self._relays_join(one, other)
+                self._connect_relays(one, other)
         for proxy in self.proxies:
-            if proxy.relay is not None and frozenset((proxy.name, proxy.relay.name)) in cuts:
-                self._leave(proxy, self.random.random())
+            if proxy.relay is not None and frozenset((proxy.name, proxy.relay.name)) in partitions:
+                self._disconnect(proxy, self.random.random())
 
-    # --- what is found ---------------------------------------------------------------------
+    # --- results --------------------------------------------------------------------------
 
-    def most_in_a_window(self, tenant: Tenant, since: float = 0.0) -> int:
+    def max_in_window(self, tenant: Tenant, since: float = 0.0) -> int:
         window: deque[float] = deque()
-        most = 0
+        maximum = 0
         for at in tenant.admitted:
             if at < since:
                 continue
             window.append(at)
             while window[0] <= at - self.rules.window:
                 window.popleft()
-            most = max(most, len(window))
-        return most
+            maximum = max(maximum, len(window))
+        return maximum
 
-    def over_the_bound(self, tenant: Tenant, since: float = 0.0) -> float:
-        """Return by how many calls the bound was passed at the worst; under 0 if it was kept."""
+    def excess_over_limit(self, tenant: Tenant, since: float = 0.0) -> float:
+        """Return by how many calls the worst window exceeds the allowed maximum."""
         limit = Limit(tenant.entry.rate, tenant.entry.burst)
-        return self.most_in_a_window(tenant, since) - self.rules.most(limit)
+        return self.max_in_window(tenant, since) - self.rules.most(limit)
 
-    # --- how it goes on --------------------------------------------------------------------
+    # --- simulation -----------------------------------------------------------------------
 
     def _configure_relay(self, relay: Relay) -> None:
         limits = {
@@ -220,42 +225,42 @@
     def _link(self, one: Relay | Proxy, other: Relay) -> int:
         return tenant_hash(f"{one.name} {other.name}")
 
-    def _leave(self, proxy: Proxy, pause: float) -> None:
+    def _disconnect(self, proxy: Proxy, pause: float) -> None:
         if proxy.relay is not None:
             proxy.relay.board.leave(self._link(proxy, proxy.relay))
         proxy.relay = None
-        proxy.joins_at = self.now + pause
+        proxy.connects_at = self.now + pause
 
-    def _relays_join(self, listener: Relay, teller: Relay) -> None:
-        outputs = teller.board.join_relay(self._link(listener, teller), self.now)
-        self._carry(teller, outputs)
+    def _connect_relays(self, receiver: Relay, sender: Relay) -> None:
+        outputs = sender.board.join_relay(self._link(receiver, sender), self.now)
+        self._send_outputs(sender, outputs)
 
-    def _proxy_turn(self, proxy: Proxy) -> None:
-        if proxy.relay is None and self.now >= proxy.joins_at:
-            self._join(proxy)
+    def _run_proxy(self, proxy: Proxy) -> None:
+        if proxy.relay is None and self.now >= proxy.connects_at:
+            self._connect(proxy)
         use = proxy.limits.report(self.now)
         if use is not None and proxy.relay is not None:
-            self._send_up(proxy, proxy.relay, use)
+            self._send_report(proxy, proxy.relay, use)
 
-    def _join(self, proxy: Proxy) -> None:
+    def _connect(self, proxy: Proxy) -> None:
         usable = [
             relay
             for relay in self.relays
-            if not relay.down and frozenset((proxy.name, relay.name)) not in self.cuts
+            if not relay.down and frozenset((proxy.name, relay.name)) not in self.partitions
         ]
         if not usable:
-            proxy.joins_at = self.now + 0.4
+            proxy.connects_at = self.now + 0.4
             return
-        relay = proxy.relay = self.random.choice(self._near(proxy, usable))
+        relay = proxy.relay = self.random.choice(self._candidates(proxy, usable))
         relay.board.join(self._link(proxy, relay), proxy.name)
         use = proxy.limits.full_report(self.now)
         if use is not None:
-            self._send_up(proxy, relay, use)
+            self._send_report(proxy, relay, use)
 
-    def _near(self, proxy: Proxy, usable: list[Relay]) -> list[Relay]:
+    def _candidates(self, proxy: Proxy, usable: list[Relay]) -> list[Relay]:
         return [relay for relay in usable if relay.zone == proxy.zone] or usable
 
-    def _send_up(self, proxy: Proxy, relay: Relay, use: TenantUse) -> None:
+    def _send_report(self, proxy: Proxy, relay: Relay, use: TenantUse) -> None:
         link = self._link(proxy, relay)
 
         def arrive() -> None:
@@ -264,37 +269,37 @@
 
         self._send(proxy, relay, use.ByteSize(), arrive)
 
-    def _relay_turn(self, relay: Relay) -> None:
+    def _run_relay(self, relay: Relay) -> None:
         if not relay.down and relay.board.next_at is not None and self.now >= relay.board.next_at:
-            self._carry(relay, relay.board.on_deadline(self.now))
+            self._send_outputs(relay, relay.board.on_deadline(self.now))
 
-    def _carry(self, relay: Relay, outputs: list) -> None:
+    def _send_outputs(self, relay: Relay, outputs: list) -> None:
         self.logs.extend(each.code for each in outputs if isinstance(each, LogEvent))
         sent = [output for output in outputs if isinstance(output, SendMessage)]
         for output in sent:
             if isinstance(output.message, LimitNews):
-                self._news(relay, output.connection, output.message)
+                self._send_news(relay, output.connection, output.message)
             else:
-                self._sums(relay, output.connection, output.message)
+                self._forward_use(relay, output.connection, output.message)
 
-    def _news(self, relay: Relay, link: int, news: LimitNews) -> None:
+    def _send_news(self, relay: Relay, link: int, news: LimitNews) -> None:
         for proxy in self.proxies:
             if proxy.relay is relay and self._link(proxy, relay) == link:
-                self._send(relay, proxy, news.ByteSize(), self._take(proxy, relay, news))
+                self._send(relay, proxy, news.ByteSize(), self._news_delivery(proxy, relay, news))
 
-    def _take(self, proxy: Proxy, relay: Relay, news: LimitNews) -> Callable[[], None]:
+    def _news_delivery(self, proxy: Proxy, relay: Relay, news: LimitNews) -> Callable[[], None]:
         def arrive() -> None:
             if proxy.relay is relay:
                 proxy.limits.apply_news(news, self.now)
 
         return arrive
 
-    def _sums(self, relay: Relay, link: int, use: TenantUse) -> None:
+    def _forward_use(self, relay: Relay, link: int, use: TenantUse) -> None:
         for other in self.relays:
             if not other.down and self._link(other, relay) == link:
-                self._send(relay, other, use.ByteSize(), self._hear(other, relay, use))
+                self._send(relay, other, use.ByteSize(), self._use_delivery(other, relay, use))
 
-    def _hear(self, other: Relay, relay: Relay, use: TenantUse) -> Callable[[], None]:
+    def _use_delivery(self, other: Relay, relay: Relay, use: TenantUse) -> Callable[[], None]:
         board = other.board
 
         def arrive() -> None:
@@ -309,48 +314,50 @@
         self.traffic.messages += 1
         self.traffic.bytes += size
         self.traffic.zone_bytes += size if one.zone != other.zone else 0
-        if frozenset((one.name, other.name)) in self.cuts:
+        if frozenset((one.name, other.name)) in self.partitions:
             return
-        way = (one.name, other.name)
-        late = 0.2 if self.random.random() < self.loss else 0.0
-        at = max(self._arrives.get(way, 0.0), self.now + self.delay * self.random.random() + late)
-        self._arrives[way] = at
+        direction = (one.name, other.name)
+        delay = 0.2 if self.random.random() < self.loss else 0.0
+        at = max(
+            self._arrives.get(direction, 0.0), self.now + self.delay * self.random.random() + delay
+        )
+        self._arrives[direction] = at
         heapq.heappush(self._queue, (at, next(self._order), arrive))
 
     def _deliver(self) -> None:
         while self._queue and self._queue[0][0] <= self.now:
             heapq.heappop(self._queue)[2]()
 
-    def _calls(self) -> None:
+    def _generate_calls(self) -> None:
         for tenant in self.tenants.values():
-            mean = tenant.sends * STEP
+            mean = tenant.rate * STEP_SECONDS
             for _ in range(_poisson(mean, self.random)):
-                self._call(tenant)
+                self._send_call(tenant)
 
-    def _call(self, tenant: Tenant) -> None:
-        proxy = tenant.by or self._drawn(tenant)
+    def _send_call(self, tenant: Tenant) -> None:
+        proxy = tenant.only_proxy or self._random_proxy(tenant)
         window = self.rules.window
-        tenant.ask(self.now)
-        tenant.asked.append(self.now)
-        while tenant.asked[0] <= self.now - window:
-            tenant.asked.popleft()
+        tenant.count_ideal(self.now)
+        tenant.recent.append(self.now)
+        while tenant.recent[0] <= self.now - window:
+            tenant.recent.popleft()
         refusal = proxy.limits.admit(tenant.entry, self.now)
         if refusal is None:
             tenant.admitted.append(self.now)
             return
         tenant.refused_at.append(self.now)
-        if len(tenant.asked) <= tenant.entry.rate * window + tenant.entry.burst:
-            tenant.wronged += 1
+        if len(tenant.recent) <= tenant.entry.rate * window + tenant.entry.burst:
+            tenant.refused_below_limit += 1
 
-    def _drawn(self, tenant: Tenant) -> Proxy:
+    def _random_proxy(self, tenant: Tenant) -> Proxy:
         zone = self.random.choices(ZONES, tenant.weights)[0]
         return self.random.choice([each for each in self.proxies if each.zone == zone])
 
 
 def _poisson(mean: float, source: random.Random) -> int:
-    """Draw how many calls come in a step in which ``mean`` are expected."""
-    count, product, least = 0, source.random(), math.exp(-mean)
-    while product > least:
+    """Draw the number of calls in a step in which ``mean`` are expected."""
+    count, product, threshold = 0, source.random(), math.exp(-mean)
+    while product > threshold:
         count += 1
         product *= source.random()
     return count
--- a/features/steps/tenant_proxy.py
+++ b/features/steps/tenant_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy core with tenants, one agent that takes every call, and a hand on its clock."""
+"""A proxy core with tenants, one agent that accepts every call, and a controllable clock."""
 
 from __future__ import annotations
 
@@ -68,9 +68,9 @@
 
 
 class TenantProxy:
-    """Times are virtual seconds; ``now`` begins at 100."""
+    """Drives the core in virtual time; ``now`` starts at 100 seconds."""
 
-    def __init__(self, tenants, revoked_after=0.0, proved=True):
+    def __init__(self, tenants, revoked_after=0.0, confirmed=True):
         header = ApiKeyHeader(NAMES.authorization, NAMES.key_scheme)
         admission = AdmissionSettings(key_header=header, revoked_after=revoked_after)
         self.now = 100.0
@@ -89,7 +89,7 @@
         self.logs, self.starts, self.answers = [], [], []
         routes = [route(*each) for each in ROUTES]
         self.change([versioned(service=Service(name="orders")), *routes, *tenants])
-        if proved:
+        if confirmed:
             self.core._take_proof(FreshnessProved(self.now), self.now)
         endpoint = Endpoint(
             service="orders",
@@ -113,7 +113,7 @@
             self.version, self.configuration, put=tuple(put), removed=tuple(keys)
         )
         self.core._install(installed, self.now)
-        self._take(self.core._take_outputs(self.now))
+        self._process(self.core._take_outputs(self.now))
 
     def call(self, route_name, headers):
         self.number += 1
@@ -126,18 +126,18 @@
             timeout=5.0,
             request_id=b"c1",
         )
-        self._take(self.core.handle(CallArrived(self.number, request), self.now))
+        self._process(self.core.handle(CallArrived(self.number, request), self.now))
 
-    def wait(self, seconds):
+    def advance(self, seconds):
         self.now += seconds
-        self._take(self.core.handle(DeadlineReached(), self.now))
+        self._process(self.core.handle(DeadlineReached(), self.now))
 
-    def _take(self, outputs):
+    def _process(self, outputs):
         for output in outputs:
             if isinstance(output, OpenConnection):
                 peer = Peer(Role.AGENT, "agent", "", Purpose.CALLS, incarnation=1)
                 opened = ConnectionOpened(output.connection, peer)
-                self._take(self.core.handle(opened, self.now))
+                self._process(self.core.handle(opened, self.now))
             elif isinstance(output, SendMessage) and isinstance(output.message, CallStart):
                 self.starts.append(output.message)
             elif isinstance(output, AnswerCall):
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tenants at the proxy and the agent: keys, revocation, ranks, logs."""
+"""Steps for tenants at the proxy and the agent: API keys, revocation, ranks, logs."""
 
 from __future__ import annotations
 
@@ -43,30 +43,32 @@
 LONG_KEY = b"Token " + b"k" * 100_000
 
 
-@given('a proxy whose configuration has the tenants "north" and "south", proved current')
+@given('a proxy whose configuration has the tenants "north" and "south", confirmed as current')
 def given_proxy(context):
     context.proxy = TenantProxy(TENANTS)
 
 
-@given('a proxy whose configuration has the tenants "north" and "south", not yet proved')
-def given_unproved(context):
-    context.proxy = TenantProxy(TENANTS, proved=False)
-    context.proved = False
+@given('a proxy whose configuration has the tenants "north" and "south", not yet confirmed')
+def given_unconfirmed(context):
+    context.proxy = TenantProxy(TENANTS, confirmed=False)
+    context.confirmed = False
 
 
-@given('a proxy whose configuration has a limit of 1 call for the tenant "north", proved current')
+@given(
+    'a proxy whose configuration has a limit of 1 call for the tenant "north", confirmed as current'
+)
 def given_limit(context):
     context.proxy = TenantProxy((tenant("north", "north-key", rate_per_s=1, burst=1),))
 
 
-@when('a caller shows {shown} on the route "{route_name}" {count:d} times')
-def when_shows_often(context, shown, route_name, count):
+@when('a caller sends {credentials} to the route "{route_name}" {count:d} times')
+def when_sends_often(context, credentials, route_name, count):
     for _ in range(count):
-        context.proxy.call(route_name, headers_of(shown))
+        context.proxy.call(route_name, headers_of(credentials))
 
 
-@then('the last call is refused as "{kind}", and its line names the tenant "{name}"')
-@then('the last call is refused as "{kind}", and its line names no tenant')
+@then('the last call is refused as "{kind}", and its log line names the tenant "{name}"')
+@then('the last call is refused as "{kind}", and its log line names no tenant')
 def then_line_names(context, kind, name=None):
     failure = the_refusal(context.proxy)
     line = [each for each in context.proxy.logs if each.code == events.CALL_FAILED][-1]
@@ -74,37 +76,37 @@
     assert line.fields.get("tenant") == name, line.fields
 
 
-@given("a proxy whose configuration has no tenants, proved current")
+@given("a proxy whose configuration has no tenants, confirmed as current")
 def given_no_tenants(context):
     context.proxy = TenantProxy(())
 
 
-@given("it lets keys in for {bound:g} seconds after a proof")
+@given("the proxy has a revocation bound of {bound:g} seconds")
 def given_bound(context, bound):
-    proved = getattr(context, "proved", True)
-    context.proxy = TenantProxy(TENANTS, revoked_after=bound, proved=proved)
+    confirmed = getattr(context, "confirmed", True)
+    context.proxy = TenantProxy(TENANTS, revoked_after=bound, confirmed=confirmed)
 
 
-@when("{age:g} seconds pass without a proof")
-def when_age(context, age):
+@when("{age:g} seconds pass without a confirmation")
+def when_unconfirmed_for(context, age):
     context.proxy.now += age
 
 
-@when('a caller shows {shown} and the tenant "{name}" on the route "{route_name}"')
-def when_shows_both(context, shown, name, route_name):
-    headers = [*headers_of(shown), (NAMES.tenant, name.encode())]
+@when('a caller sends {credentials} and the tenant "{name}" to the route "{route_name}"')
+def when_sends_tenant_too(context, credentials, name, route_name):
+    headers = [*headers_of(credentials), (NAMES.tenant, name.encode())]
     context.proxy.call(route_name, tuple(headers))
 
 
-@when('a caller shows {shown} on the route "{route_name}"')
-def when_shows(context, shown, route_name):
-    context.proxy.call(route_name, headers_of(shown))
+@when('a caller sends {credentials} to the route "{route_name}"')
+def when_sends(context, credentials, route_name):
+    context.proxy.call(route_name, headers_of(credentials))
 
 
-def headers_of(shown):
-    if shown == "a key of 100000 bytes":
+def headers_of(credentials):
+    if credentials == "a key of 100000 bytes":
         return ((NAMES.authorization, LONG_KEY),)
-    return tuple((NAMES.authorization, value.encode()) for value in QUOTED.findall(shown))
+    return tuple((NAMES.authorization, value.encode()) for value in QUOTED.findall(credentials))
 
 
 @then('the call goes to the back end for "{name}"')
@@ -120,8 +122,8 @@
     assert (failure.kind, failure.reason) == (ErrorKind(kind), reason), failure
 
 
-@then('the call is refused as "{kind}" with a time to come back')
-def then_refused_for_now(context, kind):
+@then('the call is refused as "{kind}" with a retry time')
+def then_refused_with_retry_time(context, kind):
     failure = the_refusal(context.proxy)
     assert failure.kind is ErrorKind(kind) and failure.retry_after > 0, failure
 
@@ -146,9 +148,7 @@
     assert found == [value.encode()], found
 
 
-@given(
-    "any bytes as the header of a key, the answer is a tenant or a refusal that doesn't repeat them"
-)
+@given("any bytes in the key header, the result is a tenant or a refusal that does not repeat them")
 def given_any_header(context):
     table = advance_tenant_table(NO_TENANTS, TENANTS, ())
     header = ApiKeyHeader(NAMES.authorization, NAMES.key_scheme)
@@ -184,7 +184,7 @@
     assert authenticate(headers, context.key_header, table).name == name
 
 
-@when('the keys of "{name}" become "{keys}"')
+@when('the keys of "{name}" are replaced by "{keys}"')
 def when_keys(context, name, keys):
     context.proxy.change([tenant(name, *keys.split(", "), priority=1)])
 
@@ -216,7 +216,7 @@
     return table
 
 
-@then("a new key of one tenant leaves every route's entry as it is")
+@then("a new key of one tenant leaves all route entries unchanged")
 def then_routes_stay(context):
     table = advanced(context, tenant("t7", "a7", "c7"))
     assert set(table.tenants.by_digest) != set(context.route_table.tenants.by_digest)
@@ -224,7 +224,7 @@
         assert table.built[name] is built
 
 
-@then("a new route leaves the tenants' table as it is")
+@then("a new route leaves the tenant table unchanged")
 def then_tenants_stay(context):
     assert advanced(context, route("new")).tenants is context.route_table.tenants
 
@@ -232,7 +232,7 @@
 PRIORITIES = st.lists(st.integers(1, 9), min_size=1, max_size=5)
 
 
-@given("any priorities of routes and tenants, calls are ranked by the tenant and then by the route")
+@given("any priorities of routes and tenants, calls are ranked by tenant and then by route")
 def given_any_priorities(context):
     @PROPERTY
     @examples(PRIORITIES, PRIORITIES)
@@ -251,7 +251,7 @@
     check()
 
 
-@given("tenants of one priority leave the routes' ranks as they are")
+@given("tenants of equal priority do not change the ranks of routes")
 def given_one_priority(context):
     ranks = Ranks.of(5, [3, 3])
     assert [ranks.rank(route_priority, 3) for route_priority in range(6)] == list(range(6))
@@ -291,16 +291,14 @@
     assert not [key for key, _ in headers if key.lower() == NAMES.tenant]
 
 
-@then(
-    "the proxy's log tells of {tenants:d} tenants with {keys:d} keys, and why the key was refused"
-)
+@then("the proxy's log shows {tenants:d} tenants with {keys:d} keys, and why the key was refused")
 def then_log(context, tenants, keys):
     logs = {log.code: log.fields for log in context.proxy.logs}
     assert logs[events.TENANTS_IN_FORCE] == {"tenants": tenants, "keys": keys}
     assert logs[events.CALL_FAILED]["reason"] == "the API key is unknown"
 
 
-@then("no line of the log holds a key or its digest")
+@then("no log line contains a key or its digest")
 def then_no_key_in_log(context):
     text = " ".join(str(log) for log in context.proxy.logs)
     assert Key.of(TENANTS[0].resource).name not in text
@@ -323,15 +321,18 @@
     )
 
 
-@given('settings of a proxy with the header "{name}", the word "{word}" and a bound of {ms:d} ms')
-def given_settings(context, name, word, ms):
-    headers = HeaderSettings(authorization=name, key_scheme=word, tenant="X-Tenant")
+@given(
+    'proxy settings with the key header "{name}", the scheme "{scheme}" and a revocation bound '
+    "of {ms:d} ms"
+)
+def given_settings(context, name, scheme, ms):
+    headers = HeaderSettings(authorization=name, key_scheme=scheme, tenant="X-Tenant")
     context.settings = core_settings(proxy_settings(headers, ms, probe_ms=500))
 
 
 @then(
-    "its core reads keys so, lets them in for {bound:g} seconds and passes neither key nor tenant "
-    "on"
+    "the proxy core reads keys from that header, accepts them for {bound:g} seconds and forwards "
+    "neither key nor tenant"
 )
 def then_core_settings(context, bound):
     admission, attempts = context.settings.calls.admission, context.settings.attempts
@@ -340,7 +341,10 @@
     assert attempts.key_header == b"x-key" and b"x-tenant" in attempts.reserved_headers
 
 
-@then("settings of a proxy with a bound of {bound:d} ms and a probe each {probe:d} ms have a clash")
+@then(
+    "proxy settings with a revocation bound of {bound:d} ms and a probe interval of {probe:d} ms "
+    "clash"
+)
 def then_clash(context, bound, probe):
     assert REVOCATION_CLASH in ProxySettings.CLASHES and REVOCATION_CLASH in NodeSettings.CLASHES
     assert not keys_outlive_a_probe(bound, probe)
@@ -357,15 +361,15 @@
     assert CHALLENGE_HEADER not in dict(render_answer(unauthenticated).headers)
 
 
-@when("the call's time is over")
-def when_time_over(context):
+@when("the call times out")
+def when_times_out(context):
     context.proxy.logs.clear()
-    context.proxy.wait(5.0)
-    context.proxy.wait(1.0)
+    context.proxy.advance(5.0)
+    context.proxy.advance(1.0)
 
 
-@then('the line on the call\'s end names the tenant "{name}"')
-@then("the line on the call's end names no tenant")
+@then('the log line on the call\'s end names the tenant "{name}"')
+@then("the log line on the call's end names no tenant")
 def then_line_names(context, name=None):
     (line,) = [log for log in context.proxy.logs if log.code == events.CALL_FAILED]
     assert line.fields.get("tenant") == name, line
--- a/src/limelever/proxy/attempt_completion.py
+++ b/src/limelever/proxy/attempt_completion.py
@@ -1,5 +1,4 @@
-"""Ends attempts: frees their resources and reports the outcome to the balancer and endpoint
-view."""
+"""Ends attempts and reports their outcome to the balancer and the endpoint view."""
 
 from __future__ import annotations
 
--- a/src/limelever/proxy/attempts.py
+++ b/src/limelever/proxy/attempts.py
@@ -176,8 +176,10 @@
         self._outputs.append(SendMessage(call.attempt.connection, message))
 
     def cancel_unless_begun(self, call: Call) -> None:
-        """Ask the agent to cancel the call if it is still queued; otherwise its answer still
-        arrives."""
+        """Ask the agent to cancel the call if it is still queued there.
+
+        If it has begun, its answer still arrives.
+        """
         assert call.attempt is not None
         message = CallCancel(stream=call.attempt.stream, unless_begun=True)
         self._outputs.append(SendMessage(call.attempt.connection, message))
