--- a/features/steps/prior_wait_steps.py
+++ b/features/steps/prior_wait_steps.py
@@ -22,10 +22,10 @@
 )
 def given_callers(context, common, timeout):
     context.estimator = PriorWaitEstimator()
-    drawn = random.Random(SEED)
+    random_source = random.Random(SEED)
     for _ in range(CALLS):
-        is_common = drawn.randrange(100) < common
-        milliseconds = timeout if is_common else drawn.randrange(1, timeout)
+        is_common = random_source.randrange(100) < common
+        milliseconds = timeout if is_common else random_source.randrange(1, timeout)
         context.estimator.observe(ROUTE, milliseconds / 1000)
 
 
@@ -35,10 +35,10 @@
 )
 def given_callers_with_timeouts(context, least, most, retrying):
     context.estimator = PriorWaitEstimator()
-    drawn = random.Random(SEED)
+    random_source = random.Random(SEED)
     for _ in range(CALLS):
-        milliseconds = drawn.randint(least, most)
-        if drawn.randrange(100) < retrying:
+        milliseconds = random_source.randint(least, most)
+        if random_source.randrange(100) < retrying:
             milliseconds = milliseconds * 2 // 3
         context.estimator.observe(ROUTE, milliseconds / 1000)
 
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -152,14 +152,14 @@
 def given_any_header(context):
     table = advance_tenant_table(NO_TENANTS, TENANTS, ())
     header = ApiKeyHeader(NAMES.authorization, NAMES.key_scheme)
-    drawn = st.one_of(
+    header_values = st.one_of(
         st.binary(max_size=40),
         st.from_regex(rb"(?i)token[ \t]*[\x20-\x7e]{0,12}", fullmatch=True),
         st.sampled_from([f"Token {key}".encode() for key in KEYS]),
     )
 
     @PROPERTY
-    @examples(st.lists(drawn, max_size=3))
+    @examples(st.lists(header_values, max_size=3))
     def check(values):
         found = authenticate(tuple((header.name, value) for value in values), header, table)
         if not isinstance(found, Failure):
--- a/src/limelever/proxy/attempts.py
+++ b/src/limelever/proxy/attempts.py
@@ -80,14 +80,14 @@
         self._reserved = settings.reserved_headers
         self.log: CallLog | None = None
 
-    def set_reserved_headers(self, names: frozenset[bytes], *, callers_show_keys: bool) -> None:
+    def set_reserved_headers(self, names: frozenset[bytes], *, callers_send_keys: bool) -> None:
         """Set the headers that callers may not set.
 
-        With ``callers_show_keys`` the API key header is reserved too, so that it is never
+        With ``callers_send_keys`` the API key header is reserved too, so that it is never
         forwarded.
         """
         self._reserved = names | self._settings.reserved_headers
-        if callers_show_keys:
+        if callers_send_keys:
             self._reserved |= {self._settings.key_header}
 
     def keep_only(self, routes: frozenset[str]) -> None:
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -99,7 +99,7 @@
         """Route new calls by this table; those in flight keep their route."""
         self._admission.set_table(table)
         self._attempts.set_reserved_headers(
-            table.secret_names, callers_show_keys=bool(table.tenants)
+            table.secret_names, callers_send_keys=bool(table.tenants)
         )
         self._budgets.keep_only(table.services())
         self._second_choices.keep_only(table.services())
