--- a/features/steps/rate_limit_alternatives.py
+++ b/features/steps/rate_limit_alternatives.py
@@ -12,18 +12,18 @@
 
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.sansio import SendMessage
-from limelever.limits.gate import Gate
 from limelever.limits.rules import Limit, LimitRules
-from limelever.limits.use_window import UseWindow
+from limelever.limits.tenant_limiter import TenantLimiter
+from limelever.limits.usage_window import UsageWindow
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenant_limits import TenantLimits
 from limelever.relay.limit_board import LimitBoard
 
 
-class FractionGate(Gate):
-    def try_admit(self, silent: float, fleet: int, now: float) -> bool:
-        admitted = not self._told or self._within_told_part()
-        self.use.add(now, int(admitted), int(not admitted))
+class FractionGate(TenantLimiter):
+    def try_admit(self, update_age: float, fleet_size: int, now: float) -> bool:
+        admitted = not self._has_fraction or self._admits_fraction()
+        self.usage.add(now, int(admitted), int(not admitted))
         return admitted
 
 
@@ -37,11 +37,11 @@
 
 class FractionBoard(LimitBoard):
     def _plan(self, now: float) -> LimitNews:
-        news = LimitNews(proxies=self._in_touch.fleet)
+        news = LimitNews(proxies=self._in_touch.fleet_size)
         for tenant, limit in self._limits.items():
             uses = self._others.with_own(tenant, self._own.get(tenant))
-            demand = sum(use.asked_rate(now) for use in uses)
-            allowed = self._rules.aim(limit) / self._rules.window
+            demand = sum(use.request_rate(now) for use in uses)
+            allowed = self._rules.target_calls(limit) / self._rules.window
             if demand > allowed:
                 news.tenants.append(tenant)
                 news.permille.append(int(1000 * allowed / demand))
@@ -67,7 +67,7 @@
             return None
         limit = Limit(tenant.rate, tenant.burst)
         rate, expires_at = self._rates.get(number, (0.0, 0.0))
-        equal_share = self._rules.aim(limit) / max(1, self._node_count)
+        equal_share = self._rules.target_calls(limit) / max(1, self._node_count)
         if now > expires_at:
             rate = equal_share / self._rules.window
         max_rate = 1.0 + self._rules.slack / max(1, self._node_count) + rate
@@ -75,7 +75,7 @@
         tokens = min(max_rate, tokens + rate * (now - at))
         self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
         self._record_decision(number, tokens >= 1)
-        self._gates[number].use.add(now, int(tokens >= 1), int(tokens < 1))
+        self._gates[number].usage.add(now, int(tokens >= 1), int(tokens < 1))
         return None if tokens >= 1 else Failure(ErrorKind.RATE_LIMITED, "no lease")
 
     def apply_news(self, news, now):
@@ -91,7 +91,7 @@
 
     def __init__(self, rules: LimitRules) -> None:
         super().__init__(rules)
-        self._demand: dict[int, dict[str, UseWindow]] = {}
+        self._demand: dict[int, dict[str, UsageWindow]] = {}
         self._leases: dict[int, dict[str, list[tuple[float, float]]]] = {}
         self._started_at: float | None = None
 
@@ -104,7 +104,7 @@
             return
         for reported in self._news_in(f"proxy {name}", use, now):
             by_name = self._demand.setdefault(reported.tenant, {})
-            window = by_name.setdefault(name, UseWindow(self._rules.window))
+            window = by_name.setdefault(name, UsageWindow(self._rules.window))
             window.add(reported.at, reported.admitted, reported.refused)
 
     def on_deadline(self, now: float):
@@ -120,9 +120,9 @@
         return [SendMessage(each, news[name]) for each, name in self._proxies.items()]
 
     def _lease(self, tenant: int, limit: Limit, news: dict[str, LimitNews], now: float) -> None:
-        max_rate = self._rules.aim(limit) / self._rules.window
+        max_rate = self._rules.target_calls(limit) / self._rules.window
         windows = self._demand.get(tenant, {})
-        demands = {name: _HEADROOM * use.asked_rate(now) for name, use in windows.items()}
+        demands = {name: _HEADROOM * use.request_rate(now) for name, use in windows.items()}
         scale = min(1.0, max_rate / sum(demands.values())) if any(demands.values()) else 0.0
         leases = self._leases.setdefault(tenant, {})
         for name in list(leases):
--- a/features/steps/rate_limit_fleet.py
+++ b/features/steps/rate_limit_fleet.py
@@ -206,7 +206,7 @@
     def excess_over_limit(self, tenant: Tenant, since: float = 0.0) -> float:
         """Return by how many calls the worst window exceeds the allowed maximum."""
         limit = Limit(tenant.entry.rate, tenant.entry.burst)
-        return self.max_in_window(tenant, since) - self.rules.most(limit)
+        return self.max_in_window(tenant, since) - self.rules.max_calls(limit)
 
     # --- simulation -----------------------------------------------------------------------
 
--- /dev/null
+++ b/src/limelever/agent/backend_client.py
@@ -0,0 +1,247 @@
+"""HTTP/1.1 client for the backend beside the agent, with pooled connections; built on trio."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import trio
+from msgspec import Struct
+
+from limelever.agent.connection_pool import (
+    BackendConnection,
+    BackendConnectionPool,
+    keep_alive_seconds,
+)
+from limelever.agent.headers import encode_request, request_headers
+from limelever.agent.health_answer import FoundInstance, instance_in
+from limelever.agent.interface import (
+    AttemptAnswered,
+    AttemptFailed,
+    BackendChecked,
+    CancelAttempt,
+    CheckBackend,
+    StartAttempt,
+)
+from limelever.agent.load_header import parse_pace
+from limelever.agent.response_checks import backend_refusal, matches_request, unconfirmed_refusal
+from limelever.agent.response_parser import ResponseParser
+from limelever.agent.settings import BackendSettings
+from limelever.common.errors import ErrorKind, Failure
+from limelever.common.http_headers import HeaderNames, Headers, end_to_end
+from limelever.common.http_messages import HttpAnswer
+from limelever.common.sansio import Event, Output
+from limelever.transport.streams import reason_of, receive, send_without_waiting
+
+_MILLISECONDS = 1000
+DEFAULT_NAMES = HeaderNames()
+_GET = b"GET"
+_RECEIVE_BYTES = 1 << 16
+CHECK_TIMEOUT_SECONDS = 0.15
+"""Timeout of a connection check on the local machine; long enough for a busy backend process."""
+
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
+
+
+class _Attempt(Struct):
+    """A request in progress; its cancel scope expires at the attempt's deadline."""
+
+    scope: trio.CancelScope
+    cancelled: bool = False
+    sent_any_byte: bool = False
+
+
+class BackendClient:
+    """Sends attempts to the backend; ``post`` receives exactly one event for each.
+
+    Attempts are never retried here: a pooled connection that breaks during a request is reported,
+    and the caller decides whether the request may be repeated.
+    """
+
+    def __init__(
+        self,
+        settings: BackendSettings,
+        nursery: trio.Nursery,
+        post: Callable[[Event], None],
+        names: HeaderNames = DEFAULT_NAMES,
+        instance: bytes = b"",
+    ) -> None:
+        self._settings = settings
+        self._names = names
+        self._instance = instance
+        self._nursery = nursery
+        self._post = post
+        self._host = str(settings.address).encode()
+        self._attempts: dict[int, _Attempt] = {}
+        self._pool = BackendConnectionPool(settings)
+
+    def carry_out(self, output: Output) -> None:
+        """Execute an output of the agent core; outputs not meant for the backend are ignored."""
+        match output:
+            case StartAttempt():
+                self.start(output)
+            case CancelAttempt(attempt):
+                self.cancel(attempt)
+            case CheckBackend(close_idle):
+                self._nursery.start_soon(self._check, close_idle)
+
+    def start(self, output: StartAttempt) -> None:
+        """Start an attempt in the background."""
+        deadline = trio.current_time() + output.timeout
+        attempt = _Attempt(trio.CancelScope(deadline=deadline))
+        self._attempts[output.attempt] = attempt
+        self._nursery.start_soon(self._run_attempt, output, attempt)
+
+    def cancel(self, attempt: int) -> None:
+        """Cancel an attempt; its event is still posted. Unknown numbers are ignored."""
+        running = self._attempts.get(attempt)
+        if running is not None:
+            running.cancelled = True
+            running.scope.cancel()
+
+    async def probe(self, path: str, timeout: float) -> bool:
+        """Return whether a health probe gets a 2xx response within ``timeout``."""
+        response = await self._send_probe(path, timeout)
+        return response is not None and 200 <= response.status < 300
+
+    async def find_instance(self, path: str, timeout: float) -> FoundInstance | None:
+        """Return the healthy instance that responds to a health probe, if it names itself."""
+        response = await self._send_probe(path, timeout)
+        return instance_in(response, self._names) if response is not None else None
+
+    def close(self) -> None:
+        """Close the idle connections."""
+        self._pool.close()
+
+    async def _send_probe(self, path: str, timeout: float) -> HttpAnswer | None:
+        """Return the response to a health probe, ``None`` if there is none within ``timeout``."""
+        with trio.move_on_after(timeout):
+            connection = await self._pool.acquire()
+            if isinstance(connection, Failure):
+                return None
+            request = encode_request(_GET, path.encode(), [(b"host", self._host)], b"")
+            try:
+                response = await self._round_trip(connection, _GET, request)
+            finally:
+                self._pool.release(connection)
+            return None if isinstance(response, Failure) else response
+        return None
+
+    async def _check(self, close_idle: bool) -> None:
+        if close_idle:
+            self._pool.close()
+        self._post(BackendChecked(await self._pool.check_connect(CHECK_TIMEOUT_SECONDS)))
+
+    async def _run_attempt(self, output: StartAttempt, attempt: _Attempt) -> None:
+        event: Event | None = None
+        with attempt.scope:
+            event = await self._connect_and_send(output, attempt)
+        if event is None:
+            event = AttemptFailed(output.attempt, _interruption(attempt), attempt.sent_any_byte)
+        del self._attempts[output.attempt]
+        self._post(event)
+
+    async def _connect_and_send(self, output: StartAttempt, attempt: _Attempt) -> Event:
+        connection = await self._pool.acquire()
+        if isinstance(connection, Failure):
+            return AttemptFailed(output.attempt, connection, sent_any_byte=False)
+        attempt.sent_any_byte = True
+        try:
+            return await self._send_attempt(output, connection, _remaining_ms(attempt))
+        finally:
+            self._pool.release(connection)
+
+    async def _send_attempt(
+        self, output: StartAttempt, connection: BackendConnection, remaining_ms: int
+    ) -> Event:
+        headers = request_headers(output, self._host, remaining_ms, self._names, self._instance)
+        request = encode_request(output.method, output.target, headers, output.body)
+        response = await self._round_trip(connection, output.method, request)
+        if isinstance(response, Failure):
+            return AttemptFailed(
+                output.attempt, response, sent_any_byte=True, connection_ended=connection.ended
+            )
+        connection.max_idle = min(connection.max_idle, keep_alive_seconds(response.headers))
+        end_to_end_headers = end_to_end(response.headers)
+        return self._classify_response(
+            output, connection, response.status, end_to_end_headers, response.body
+        )
+
+    async def _round_trip(
+        self, connection: BackendConnection, method: bytes, request: bytes
+    ) -> HttpAnswer | Failure:
+        """Send a request and return its complete response.
+
+        A response may arrive before the request is sent completely; the connection is closed then.
+        """
+        parser = ResponseParser(method, self._settings.max_response_bytes)
+        unsent = request[send_without_waiting(connection.stream, request) :]
+        if not unsent:
+            await _read_response(connection, parser)
+            connection.reusable = parser.reusable
+        else:
+            async with trio.open_nursery() as nursery:
+                sent = trio.Event()
+                nursery.start_soon(_send_unsent, connection, unsent, sent)
+                await _read_response(connection, parser)
+                connection.reusable = parser.reusable and sent.is_set()
+                nursery.cancel_scope.cancel()
+        connection.ended = parser.connection_ended
+        if parser.response is not None:
+            return parser.response
+        assert parser.failure is not None
+        return parser.failure
+
+    def _classify_response(
+        self,
+        output: StartAttempt,
+        connection: BackendConnection,
+        status: int,
+        headers: Headers,
+        body: bytes,
+    ) -> Event:
+        """Return the event for a complete response."""
+        if not matches_request(output.headers, headers, self._names):
+            connection.reusable = False
+            failure = Failure(ErrorKind.BACKEND_FAILED, "response belongs to another request")
+            return AttemptFailed(output.attempt, failure, sent_any_byte=True)
+        refusal = backend_refusal(status, headers, self._names)
+        if refusal is not None:
+            return AttemptFailed(output.attempt, refusal, sent_any_byte=True, refused=True)
+        unconfirmed = unconfirmed_refusal(status, self._names)
+        if unconfirmed is not None:
+            return AttemptFailed(output.attempt, unconfirmed, sent_any_byte=True)
+        pace = parse_pace(headers, self._names)
+        return AttemptAnswered(output.attempt, status, headers, body, pace)
+
+
+async def _read_response(connection: BackendConnection, parser: ResponseParser) -> None:
+    while not parser.finished:
+        try:
+            data = await receive(connection.stream, _RECEIVE_BYTES)
+        except _CONNECTION_ERRORS as error:
+            parser.handle_error(reason_of(error))
+            return
+        if data:
+            parser.feed(data)
+        else:
+            parser.handle_close()
+
+
+async def _send_unsent(connection: BackendConnection, unsent: bytes, sent: trio.Event) -> None:
+    """Send the rest of a request; errors are left to the reading side."""
+    try:
+        await connection.stream.send_all(unsent)
+    except _CONNECTION_ERRORS:
+        return
+    sent.set()
+
+
+def _remaining_ms(attempt: _Attempt) -> int:
+    remaining = attempt.scope.deadline - trio.current_time()
+    return max(1, int(remaining * _MILLISECONDS))
+
+
+def _interruption(attempt: _Attempt) -> Failure:
+    if attempt.cancelled:
+        return Failure(ErrorKind.CANCELLED, "attempt cancelled")
+    return Failure(ErrorKind.DEADLINE_EXCEEDED, "backend did not respond before the deadline")
--- a/src/limelever/proxy/tenant_limits.py
+++ b/src/limelever/proxy/tenant_limits.py
@@ -14,10 +14,14 @@
 from msgspec import Struct
 
 from limelever.common.errors import ErrorKind, Failure
-from limelever.limits.gate import Gate
-from limelever.limits.in_touch import MEMORY, QUIET_INTERVAL, SILENT_AFTER
+from limelever.limits.reachable_proxies import (
+    FLEET_SIZE_RETENTION,
+    KEEPALIVE_INTERVAL,
+    PEER_TIMEOUT,
+)
 from limelever.limits.rules import Limit, LimitRules
 from limelever.limits.tenant_hash import tenant_hash
+from limelever.limits.tenant_limiter import TenantLimiter
 from limelever.protocol.limits_pb2 import LimitNews, TenantUse
 from limelever.proxy.tenants import TenantEntry
 
@@ -44,7 +48,7 @@
     def __init__(self, rules: LimitRules, random_source: random.Random) -> None:
         self._rules = rules
         self._random = random_source
-        self._gates: dict[int, Gate] = {}
+        self._gates: dict[int, TenantLimiter] = {}
         self._hash_of: dict[str, int] = {}
         self._node_count = 0
         self._proxy_count = 0
@@ -61,7 +65,7 @@
 
     def set_tenants(self, by_name: Mapping[str, TenantEntry]) -> None:
         """Apply the tenants of the current configuration; recorded use is kept."""
-        gates: dict[int, Gate] = {}
+        gates: dict[int, TenantLimiter] = {}
         self._hash_of = {}
         for name, tenant in by_name.items():
             if tenant.rate <= 0:
@@ -69,7 +73,7 @@
             hashed = self._hash_of[name] = tenant_hash(name)
             limit = Limit(tenant.rate, tenant.burst)
             existing = self._gates.get(hashed)
-            gates[hashed] = existing or Gate(limit, self._rules, self._random)
+            gates[hashed] = existing or TenantLimiter(limit, self._rules, self._random)
             gates[hashed].limit = limit
         self._gates = gates
         self._unreported = {
@@ -90,7 +94,7 @@
         if hashed is None:
             return None
         gate = self._gates[hashed]
-        if is_late and gate.is_short(self._news_age(now)):
+        if is_late and gate.is_throttled(self._news_age(now)):
             return self._refusal(tenant, gate, now)
         admitted = gate.try_admit(self._news_age(now), self._fleet_size(), now)
         self._record_decision(hashed, admitted)
@@ -104,22 +108,22 @@
         """
         hashed = self._hash_of.get(name)
         if hashed is not None and now - admitted_at < self._rules.window:
-            self._gates[hashed].use.add(admitted_at, -1, 0)
+            self._gates[hashed].usage.add(admitted_at, -1, 0)
             self._unreported.setdefault(hashed, _Unreported()).admitted -= 1
             self._unreported_calls += 1
 
     def apply_news(self, news: LimitNews, now: float) -> None:
         """Apply an update from the relay, which replaces the previous one."""
-        if news.proxies >= self._proxy_count or now - self._proxy_count_at > MEMORY:
+        if news.proxies >= self._proxy_count or now - self._proxy_count_at > FLEET_SIZE_RETENTION:
             self._proxy_count, self._proxy_count_at = news.proxies, now
         self._news_at = now
         for hashed in self._limited.difference(news.tenants):
             if hashed in self._gates:
-                self._gates[hashed].free()
+                self._gates[hashed].clear_permille()
         self._limited = frozenset(news.tenants)
         for hashed, permille in zip(news.tenants, news.permille, strict=False):
             if hashed in self._gates:
-                self._gates[hashed].told(permille, now)
+                self._gates[hashed].set_permille(permille, now)
 
     def full_report(self, now: float) -> TenantUse | None:
         """Return the use of the whole window, for a newly connected relay."""
@@ -129,7 +133,7 @@
         self._unreported = {}
         use = TenantUse(fleet=self._proxy_count)
         for hashed, gate in self._gates.items():
-            for age, slot in gate.use.slots(now):
+            for age, slot in gate.usage.slots(now):
                 use.tenants.append(hashed)
                 use.admitted.append(max(0, slot.admitted))
                 use.refused.append(slot.refused)
@@ -159,7 +163,7 @@
 
         This proxy then admits calls only within its own part of each limit.
         """
-        return bool(self._gates) and SILENT_AFTER < self._news_age(now) < math.inf
+        return bool(self._gates) and PEER_TIMEOUT < self._news_age(now) < math.inf
 
     def next_deadline(self) -> float | None:
         """Return when ``report`` must be called next, or ``None``."""
@@ -174,7 +178,7 @@
     def _schedule_report(self, now: float) -> None:
         self._unreported_calls = 0
         self._report_at = now + REPORT_INTERVAL_SECONDS
-        self._idle_report_at = now + QUIET_INTERVAL
+        self._idle_report_at = now + KEEPALIVE_INTERVAL
 
     def _record_decision(self, hashed: int, admitted: bool) -> None:
         unreported = self._unreported.setdefault(hashed, _Unreported())
@@ -190,7 +194,7 @@
     def _fleet_size(self) -> int:
         return max(1, self._proxy_count or self._node_count)
 
-    def _refusal(self, tenant: TenantEntry, gate: Gate, now: float) -> Failure:
+    def _refusal(self, tenant: TenantEntry, gate: TenantLimiter, now: float) -> Failure:
         news_age = self._news_age(now)
         freshness = (
             f"relay update {news_age:.1f} s old"
@@ -199,9 +203,9 @@
         )
         reason = (
             f"tenant {tenant.name} is at its limit of {tenant.rate:g} calls/s plus a burst of"
-            f" {tenant.burst:g} ({gate.use.admitted(now)} admitted by this proxy in the last"
+            f" {tenant.burst:g} ({gate.usage.admitted(now)} admitted by this proxy in the last"
             f" {self._rules.window:g} s, {freshness})"
         )
-        wait = gate.wait(news_age, self._fleet_size())
+        wait = gate.retry_after(news_age, self._fleet_size())
         resources = (f"tenant/{tenant.name}",)
         return Failure(ErrorKind.RATE_LIMITED, reason, resources=resources, retry_after=wait)
