--- a/features/proxy/quarantine.feature
+++ b/features/proxy/quarantine.feature
@@ -54,7 +54,7 @@
     And a caller asks the proxy for "/orders/1"
     Then the proxy refused call 2 as "quarantined" with a retry time
 
-  Scenario: A call queued at an agent is cancelled when its request is convicted
+  Scenario: A call queued at an agent is cancelled when its request is quarantined
     Given a proxy with one endpoint
     When a caller asks the proxy for "/orders/1"
     And the relay reports 3 crashes on "/orders/1" to the proxy
@@ -62,7 +62,7 @@
     When the agent refuses the call as "deadline-too-short"
     Then the caller of call 1 was told "quarantined" and outcome "not-run"
 
-  Scenario: A call that waits for its link is not sent when its request is convicted
+  Scenario: A call that waits for its link is not sent when its request is quarantined
     Given a proxy with one endpoint whose agent accepts no link
     When a caller asks the proxy for "/orders/1"
     And the relay reports 3 crashes on "/orders/1" to the proxy
--- a/features/steps/balancing_steps.py
+++ b/features/steps/balancing_steps.py
@@ -73,8 +73,8 @@
 @when("relays report a load of {load:d} for the first two endpoints")
 def relays_report_loads(context: Context, load: int) -> None:
     for entry in context.usable[:2]:
-        number = endpoint_hash(entry.key.service, entry.key.instance)
-        key = context.view.by_hash(number)
+        hash_value = endpoint_hash(entry.key.service, entry.key.instance)
+        key = context.view.by_hash(hash_value)
         assert key == entry.key
         context.balancer.observe_zone_load(key, load, 0.0)
 
@@ -149,10 +149,10 @@
             for _ in range(abs(failures)):
                 balancer.attempt_started(key)
                 balancer.attempt_ended(key, verdict, 0.01, 1.0)
-        left = set()
-        while (entry := balancer.pick(usable, 1.0, left)) is not None:
-            left.add(entry.key)
-        assert len(left) >= math.ceil(count / 2)
+        in_use = set()
+        while (entry := balancer.pick(usable, 1.0, in_use)) is not None:
+            in_use.add(entry.key)
+        assert len(in_use) >= math.ceil(count / 2)
 
     check()
 
@@ -192,7 +192,7 @@
         states: dict[tuple[int, int], int] = {}
         for incarnation, sequence, state in plan:
             states.setdefault((incarnation, sequence), state)
-        messages = [update_of(*age, state) for age, state in states.items()] * 2
+        messages = [update_of(*revision, state) for revision, state in states.items()] * 2
         shuffler.shuffle(messages)
         view = EndpointView()
         for message in messages:
@@ -201,7 +201,7 @@
         usable = view.usable(SERVICE, 1.0)
         assert all((e.incarnation, e.sequence) == newest for e in usable)
         assert not (usable and states[newest] != ENDPOINT_STATE_READY)
-        own = {state for age, state in states.items() if age[0] == newest[0]}
+        own = {state for revision, state in states.items() if revision[0] == newest[0]}
         if states[newest] == ENDPOINT_STATE_READY and ENDPOINT_STATE_DRAINING not in own:
             assert len(usable) == 1, states
         assert not (usable and ENDPOINT_STATE_DRAINING in own), states
@@ -345,7 +345,7 @@
 
 @then("a {kind:w} call with {target:d} ms to its latency target goes {where}")
 def call_goes(context: Context, kind: str, target: int, where: str) -> None:
-    within = target / 1000 * (SMALL_PART if kind == "light" else USUAL_PART)
+    local_budget = target / 1000 * (SMALL_PART if kind == "light" else USUAL_PART)
     balancer = context.balancer
-    picked = balancer.pick(context.usable, 1.0, local_budget=within, small=kind == "light")
+    picked = balancer.pick(context.usable, 1.0, local_budget=local_budget, small=kind == "light")
     assert (picked.zone == "here") is (where == "to its zone"), picked
--- a/features/steps/proxy_quarantine_steps.py
+++ b/features/steps/proxy_quarantine_steps.py
@@ -25,10 +25,10 @@
 
 
 def send_crashes(host: ProxyHost, request: Fingerprint, count: int) -> None:
-    evidence = CrashHistory()
+    history = CrashHistory()
     for crash in range(count):
-        evidence.add_crash((SuspectRequest(request, crash),), crash + 1, host.now)
-    send_news(host, evidence.update_for((request.request,), host.now))
+        history.add_crash((SuspectRequest(request, crash),), crash + 1, host.now)
+    send_news(host, history.update_for((request.request,), host.now))
 
 
 def reported_suspects(host: ProxyHost) -> list[Suspect]:
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -416,7 +416,7 @@
         fresh = taken = 0
         for is_fresh in plan:
             if is_fresh:
-                budget.record_fresh_call()
+                budget.record_first_attempt()
                 fresh += 1
             else:
                 taken += budget.try_take()
--- a/features/steps/rate_limit_alternatives.py
+++ b/features/steps/rate_limit_alternatives.py
@@ -20,7 +20,7 @@
 from limelever.relay.limit_board import LimitBoard
 
 
-class FractionGate(TenantLimiter):
+class FractionLimiter(TenantLimiter):
     def try_admit(self, update_age: float, fleet_size: int, now: float) -> bool:
         admitted = not self._has_fraction or self._admits_fraction()
         self.usage.add(now, int(admitted), int(not admitted))
@@ -30,9 +30,9 @@
 class FractionLimits(TenantLimits):
     def set_tenants(self, by_name) -> None:
         super().set_tenants(by_name)
-        for number, gate in self._gates.items():
-            if not isinstance(gate, FractionGate):
-                self._gates[number] = FractionGate(gate.limit, self._rules, self._random)
+        for number, limiter in self._limiters.items():
+            if not isinstance(limiter, FractionLimiter):
+                self._limiters[number] = FractionLimiter(limiter.limit, self._rules, self._random)
 
 
 class FractionBoard(LimitBoard):
@@ -75,7 +75,7 @@
         tokens = min(max_rate, tokens + rate * (now - at))
         self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
         self._record_decision(number, tokens >= 1)
-        self._gates[number].usage.add(now, int(tokens >= 1), int(tokens < 1))
+        self._limiters[number].usage.add(now, int(tokens >= 1), int(tokens < 1))
         return None if tokens >= 1 else Failure(ErrorKind.RATE_LIMITED, "no lease")
 
     def apply_news(self, news, now):
--- a/features/steps/rate_limit_fleet.py
+++ b/features/steps/rate_limit_fleet.py
@@ -89,7 +89,7 @@
 class Traffic:
     messages: int = 0
     bytes: int = 0
-    zone_bytes: int = 0
+    cross_zone_bytes: int = 0
 
 
 class RateLimitFleet:
@@ -313,7 +313,7 @@
     ) -> None:
         self.traffic.messages += 1
         self.traffic.bytes += size
-        self.traffic.zone_bytes += size if one.zone != other.zone else 0
+        self.traffic.cross_zone_bytes += size if one.zone != other.zone else 0
         if frozenset((one.name, other.name)) in self.partitions:
             return
         direction = (one.name, other.name)
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -197,7 +197,7 @@
 def given_once(context):
     context.proxy = Proxy(RetrySettings(fleet_saved_retries=30))
     for _ in range(30):
-        context.proxy.core._engine._budgets.of("orders", 0).record_fresh_call()
+        context.proxy.core._engine._budgets.of("orders", 0).record_first_attempt()
     context.proxy.call()
 
 
@@ -271,6 +271,6 @@
 @then("{count:d} retries can be taken at once and no more")
 def then_retries(context, count):
     for _ in range(1000):
-        context.budgets.of("orders", 20).record_fresh_call()
+        context.budgets.of("orders", 20).record_first_attempt()
     taken = sum(context.budgets.of("orders", 20).try_take() for _ in range(100))
     assert taken == count, taken
--- a/features/steps/tenant_refusal_steps.py
+++ b/features/steps/tenant_refusal_steps.py
@@ -136,7 +136,7 @@
 
 
 @when("its relay reports that no tenant is near its limit any more")
-def report_room(context: Context) -> None:
+def report_no_tenant_near_limit(context: Context) -> None:
     context.limits.apply_news(LimitNews(proxies=1), context.now)
 
 
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -69,7 +69,7 @@
 
 @then('the last call is refused as "{kind}", and its log line names the tenant "{name}"')
 @then('the last call is refused as "{kind}", and its log line names no tenant')
-def then_line_names(context, kind, name=None):
+def then_refused_in_log(context, kind, name=None):
     failure = the_refusal(context.proxy)
     line = [each for each in context.proxy.logs if each.code == events.CALL_FAILED][-1]
     assert failure.kind is ErrorKind(kind) and line.fields["kind"] == kind, failure
--- a/src/limelever/proxy/admission.py
+++ b/src/limelever/proxy/admission.py
@@ -26,8 +26,8 @@
 from limelever.proxy.traffic_split import TrafficSplitter
 
 MIN_CONFIGURATION_RETRY_SECONDS = 0.25
-"""Shortest retry delay while the proxy waits for its configuration; the first one usually arrives
-within it after a start."""
+"""Shortest retry delay while the proxy waits for its configuration; a proxy that has just started
+usually receives one sooner."""
 
 MAX_CONFIGURATION_RETRY_SECONDS = 1.0
 """Longest such delay; the configuration source elects a new leader in less time."""
@@ -51,7 +51,7 @@
     """Admission settings; times in seconds.
 
     ``default_timeout`` applies to routes without a timeout of their own. ``stale_after`` is the age
-    of the last freshness proof from which refusals based on the route table become ``STALE``.
+    of the last confirmation from which refusals based on the route table become ``STALE``.
     ``revoked_after`` is the age from which API keys are no longer accepted, because a key may have
     been revoked since; 0 accepts them at any age. ``key_header`` is the header that carries the
     caller's API key.
--- a/src/limelever/proxy/attempt_completion.py
+++ b/src/limelever/proxy/attempt_completion.py
@@ -19,7 +19,7 @@
 
 
 class AttemptCompleter:
-    """Ends attempts and passes on what they reveal about their endpoints."""
+    """Ends attempts, and reports their outcomes and the load of their endpoints."""
 
     def __init__(
         self,
--- a/src/limelever/proxy/attempts.py
+++ b/src/limelever/proxy/attempts.py
@@ -34,8 +34,7 @@
 
 
 class AttemptSettings(Struct, frozen=True):
-    """Limits on answers in bytes, and how long a call waits for a link to be established in
-    seconds.
+    """Limits on answers in bytes; ``dial_wait`` is how long a call waits for a link, in seconds.
 
     ``added_headers`` are sent with every call. ``reserved_headers`` are removed from callers'
     requests. ``key_header`` is the header that carries the caller's API key.
@@ -126,7 +125,7 @@
     def _pick_endpoint(
         self, call: Call, usable: Sequence[EndpointEntry], now: float
     ) -> EndpointEntry | None:
-        """Return an untried endpoint; one whose connection is overdue only if there is no other."""
+        """Return an untried endpoint, preferably one whose link is not overdue."""
         local_budget = self._moved.local_within(call, now)
         small = self._moved.is_light(call)
         excluded: set[EndpointKey] = set(call.tried)
--- a/src/limelever/proxy/balancer.py
+++ b/src/limelever/proxy/balancer.py
@@ -105,7 +105,7 @@
         ramp-up time in seconds; 0 stands for the default. An endpoint in the proxy's own zone is
         preferred while it has a free slot, or if its answer is expected within ``local_budget``
         seconds, to save traffic between zones. A ``small`` call saves little of it, and stays in
-        its zone only if the answer is hardly later than elsewhere.
+        its zone only if its answer is later by at most ``small_call_slack`` of the budget.
         """
         if not usable:
             return None
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -130,9 +130,11 @@
             self._end(admitted, quarantined, now)
             return
         route = admitted.route
-        self._budgets.of(admitted.part.service, route.retry_budget_percent).record_fresh_call()
+        self._budgets.of(admitted.part.service, route.retry_budget_percent).record_first_attempt()
         if self._second_percent:
-            self._second_choices.of(admitted.part.service, self._second_percent).record_fresh_call()
+            self._second_choices.of(
+                admitted.part.service, self._second_percent
+            ).record_first_attempt()
         if route.at_most_once:
             self._claims.begin(admitted, now)
         else:
--- a/src/limelever/proxy/endpoints.py
+++ b/src/limelever/proxy/endpoints.py
@@ -1,11 +1,11 @@
 """The proxy's view of the endpoints of the services in its scope.
 
-It is merged from relays' updates, which may be late, duplicated or incomplete, and is kept while no
-relay answers. The highest (incarnation, sequence) wins. An incarnation that was reported as
-draining never takes work again, however old that report is. A removed endpoint returns with a
-higher revision, because a relay may end the lease of an agent that is still registered at another
-relay. An endpoint missing from a full update stays usable for a grace period, because a relay that
-has just restarted knows only the agents that have reconnected so far.
+It is merged from relays' updates, which may be late, duplicated or incomplete. While no relay
+answers, the last view stays in use. The highest (incarnation, sequence) wins. An incarnation that
+was reported as draining never takes work again, however old that report is. A removed endpoint
+returns with a higher revision, because a relay may end the lease of an agent that is still
+registered at another relay. An endpoint missing from a full update stays usable for a grace period,
+because a relay that has just restarted knows only the agents that have reconnected so far.
 """
 
 from __future__ import annotations
@@ -114,7 +114,7 @@
         return cached.entries
 
     def retire(self, key: EndpointKey, incarnation: int) -> bool:
-        """Send no more work to this incarnation; return whether it was still in use."""
+        """Send no more work to this incarnation; return ``False`` if it was retired before."""
         if self._retired.get(key, -1) >= incarnation:
             return False
         _remember(self._retired, key, incarnation)
--- a/src/limelever/proxy/group_limits.py
+++ b/src/limelever/proxy/group_limits.py
@@ -66,7 +66,7 @@
         return None
 
     def release(self, key: ShareKey) -> None:
-        """Count one call of ``key`` less."""
+        """Stop counting one call of ``key``, which has ended."""
         usage = self._groups[key]
         usage.in_flight -= 1
         self._in_flight -= 1
--- a/src/limelever/proxy/limit_usage_reporter.py
+++ b/src/limelever/proxy/limit_usage_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the use of tenants' limits to the relay; starts over with each new connection."""
+"""Reports the use of tenants' limits to the relay, in full at the start of each connection."""
 
 from __future__ import annotations
 
--- a/src/limelever/proxy/prior_waits.py
+++ b/src/limelever/proxy/prior_waits.py
@@ -16,7 +16,7 @@
 from limelever.proxy.named_times import FreshTimes, fresh_times
 
 SAMPLES_PER_HALVING = 256
-"""Calls of a route after which all counts are halved, so that old ones fade."""
+"""Calls of a route after which all counts are halved, so that old calls lose weight."""
 
 MIN_SAMPLES = 16
 """Calls of a route before its timeouts are evaluated."""
--- a/src/limelever/proxy/quarantine.py
+++ b/src/limelever/proxy/quarantine.py
@@ -22,7 +22,7 @@
 )
 from limelever.quarantine.policy import quarantine_duration
 
-MAX_CRASHES_PER_CALL = 2
+CRASHES_ENDING_RETRIES = 2
 """Crashes of a request in a row after which a call is not retried. One retry is allowed, because
 the request may merely have shared a back end with the one that crashed it."""
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, random_source: random.Random, outputs: list[Output]) -> None:
-        self._evidence = CrashHistory()
+        self._history = CrashHistory()
         self._random = random_source
         self._outputs = outputs
         self._trial_times: dict[tuple[int, int], float] = {}
@@ -52,53 +52,52 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no suspicious requests are known, so that calls need no check."""
-        return not len(self._evidence)
+        """Return whether no crashes are known, so that calls need no check."""
+        return not len(self._history)
 
     def refusal(self, call: Call, now: float) -> Failure | None:
         """Return why a call must not reach a back end now, or ``None`` if it may.
 
-        A call of a convicted request that may proceed becomes the request's only trial.
+        A call of a quarantined request that may proceed becomes the request's only trial.
         """
-        suspicion = self._suspicion(call)
-        if suspicion is None or not suspicion.is_quarantined:
+        record = self._record_of(call)
+        if record is None or not record.is_quarantined:
             return None
-        request = suspicion.fingerprint.request
+        request = record.fingerprint.request
         if request in call.part.released_requests:
             return None
-        remaining = self._trial_time(suspicion) - now
+        remaining = self._trial_time(record) - now
         if remaining <= 0 and self._trials.setdefault(request, call.number) == call.number:
             return None
         reason = (
-            f"{suspicion.consecutive_crashes} back ends in a row crashed while handling this"
-            " request"
+            f"{record.consecutive_crashes} back ends in a row crashed while handling this request"
         )
-        retry_after = max(remaining, quarantine_duration(suspicion.consecutive_crashes) / 2)
+        retry_after = max(remaining, quarantine_duration(record.consecutive_crashes) / 2)
         return Failure(ErrorKind.QUARANTINED, reason, retry_after=retry_after)
 
     def may_retry(self, call: Call) -> bool:
         """Return whether a call whose back end crashed may be sent to another one."""
-        suspicion = self._suspicion(call)
-        return suspicion is None or suspicion.consecutive_crashes < MAX_CRASHES_PER_CALL
+        record = self._record_of(call)
+        return record is None or record.consecutive_crashes < CRASHES_ENDING_RETRIES
 
     def known_depth(self, call: Call) -> int:
         """Return how many back ends in a row are known to have crashed on a call's request."""
-        suspicion = self._suspicion(call)
-        return 0 if suspicion is None else suspicion.consecutive_crashes
+        record = self._record_of(call)
+        return 0 if record is None else record.consecutive_crashes
 
     def record_crash(self, ended: AttemptEnded, now: float) -> bool:
         """Record that a back end crashed while handling a call of this proxy.
 
-        Return whether this newly convicts the call's request.
+        Return whether the call's request is quarantined now.
         """
         request = ended.call.request
         service = ended.call.part.service
         fingerprint = Fingerprint.of(service, request.method, request.target, request.body)
-        suspected = SuspectRequest(fingerprint, ended.known_depth)
-        changed = self._evidence.add_crash((suspected,), ended.crash, now)
+        suspect = SuspectRequest(fingerprint, ended.known_depth)
+        changed = self._history.add_crash((suspect,), ended.crash, now)
         if not changed:
             return False
-        self._outputs.append(SendCrashNews(self._evidence.update_for(changed, now)))
+        self._outputs.append(SendCrashNews(self._history.update_for(changed, now)))
         return self._log_changes(changed, {})
 
     def record_answer(self, call: Call, status: int, now: float) -> None:
@@ -109,13 +108,13 @@
         """
         if status >= _MIN_SERVER_ERROR_STATUS:
             return
-        suspicion = self._suspicion(call)
-        if suspicion is None:
+        record = self._record_of(call)
+        if record is None:
             return
-        was_convicted, request = suspicion.is_quarantined, suspicion.fingerprint.request
-        if self._evidence.clear(request):
-            self._outputs.append(SendCrashNews(self._evidence.update_for((request,), now)))
-            if was_convicted:
+        was_quarantined, request = record.is_quarantined, record.fingerprint.request
+        if self._history.clear(request):
+            self._outputs.append(SendCrashNews(self._history.update_for((request,), now)))
+            if was_quarantined:
                 self._log_cleared(request)
 
     def release_trial(self, call: Call) -> None:
@@ -126,69 +125,68 @@
             del self._trials[request]
 
     def apply_news(self, news: CrashNews, now: float) -> bool:
-        """Merge crash news from a relay; return whether it convicts any request.
+        """Merge crash news from a relay; return whether any request they change is quarantined.
 
         A relay that sends full news may have just restarted, so it is sent what it lacks.
         """
         if news.full:
-            missing = self._evidence.missing_from(news)
+            missing = self._history.missing_from(news)
             if missing:
-                self._outputs.append(SendCrashNews(self._evidence.update_for(missing, now)))
-        before = {each.request: self._is_convicted(each.request) for each in news.suspects}
-        changed = self._evidence.merge(news, now)
+                self._outputs.append(SendCrashNews(self._history.update_for(missing, now)))
+        before = {each.request: self._is_quarantined(each.request) for each in news.suspects}
+        changed = self._history.merge(news, now)
         return self._log_changes(changed, before)
 
     def expire(self, now: float) -> None:
-        """Drop outdated evidence."""
-        expired = set(self._evidence.expire(now))
+        """Drop outdated crash records."""
+        expired = set(self._history.expire(now))
         for key in [key for key in self._trial_times if key[0] in expired]:
             del self._trial_times[key]
 
-    def _suspicion(self, call: Call) -> CrashRecord | None:
+    def _record_of(self, call: Call) -> CrashRecord | None:
         """Return what is known of a call's request; its body is hashed only for a known head."""
         if self.is_empty:
             return None
         request = call.request
         if not call.head_digest:
             call.head_digest = head_digest(call.part.service, request.method, request.target)
-        if not self._evidence.has_head(call.head_digest):
+        if not self._history.has_head(call.head_digest):
             return None
-        return self._evidence.get(request_digest(call.head_digest, request.body))
+        return self._history.get(request_digest(call.head_digest, request.body))
 
-    def _is_convicted(self, request: int) -> bool:
-        held = self._evidence.get(request)
-        return held is not None and held.is_quarantined
+    def _is_quarantined(self, request: int) -> bool:
+        record = self._history.get(request)
+        return record is not None and record.is_quarantined
 
-    def _trial_time(self, suspicion: CrashRecord) -> float:
-        """Return when this proxy may try a convicted request, drawn once per number of crashes."""
-        key = (suspicion.fingerprint.request, suspicion.consecutive_crashes)
+    def _trial_time(self, record: CrashRecord) -> float:
+        """Return when this proxy may try a quarantined request, drawn again after each crash."""
+        key = (record.fingerprint.request, record.consecutive_crashes)
         if key not in self._trial_times:
             factor = 1.0 + self._random.random()
             self._trial_times[key] = (
-                suspicion.last_crash_at
-                + quarantine_duration(suspicion.consecutive_crashes) * factor
+                record.last_crash_at + quarantine_duration(record.consecutive_crashes) * factor
             )
         return self._trial_times[key]
 
     def _log_changes(self, changed: list[int], before: dict[int, bool]) -> bool:
-        """Log newly convicted or cleared requests; return whether any is convicted."""
-        convicted = False
+        """Log changed requests now quarantined or cleared; return whether any is quarantined."""
+        quarantined = False
         for request in changed:
-            held = self._evidence.get(request)
-            if held is None:
+            record = self._history.get(request)
+            if record is None:
                 continue
-            if held.is_quarantined:
-                convicted = True
-                self._log_convicted(held)
+            if record.is_quarantined:
+                quarantined = True
+                self._log_quarantined(record)
             elif before.get(request):
                 self._log_cleared(request)
-        return convicted
+        return quarantined
 
-    def _log_convicted(self, suspicion: CrashRecord) -> None:
+    def _log_quarantined(self, record: CrashRecord) -> None:
         fields: dict[str, object] = {
-            "request": format_digest(suspicion.fingerprint.request),
-            "crashes": suspicion.consecutive_crashes,
-            "seconds": quarantine_duration(suspicion.consecutive_crashes),
+            "request": format_digest(record.fingerprint.request),
+            "crashes": record.consecutive_crashes,
+            "seconds": quarantine_duration(record.consecutive_crashes),
         }
         self._outputs.append(LogEvent(events.REQUEST_QUARANTINED, fields))
 
--- a/src/limelever/proxy/retry_budget.py
+++ b/src/limelever/proxy/retry_budget.py
@@ -22,8 +22,8 @@
     saved_retries_limit: int = _DEFAULT_SAVED_RETRIES
     _balance: int = 0
 
-    def record_fresh_call(self) -> None:
-        """Earn the fraction of a retry that one call allows."""
+    def record_first_attempt(self) -> None:
+        """Earn the fraction of a retry that one first attempt allows."""
         limit = self.saved_retries_limit * _RETRY_COST
         self._balance = min(limit, self._balance + self.percent)
 
--- a/src/limelever/proxy/retry_rules.py
+++ b/src/limelever/proxy/retry_rules.py
@@ -30,11 +30,11 @@
         ErrorKind.BACKEND_REFUSED,
     }
 )
-"""Failures that another endpoint may avoid; each retry is paid from the route's budget."""
+"""Failures that another endpoint may avoid; each retry is paid from the service's budget."""
 
-MAX_FURTHER_AGENTS_BODY_HELD = 3
-"""Further agents to try for a call whose body is sent only on request: each costs just the head of
-the call."""
+MAX_FURTHER_AGENTS_FOR_LARGE_BODY = 3
+"""Further agents to try for a call whose body is sent only on the agent's request: each refusal
+costs just the head of the call."""
 
 AGENT_REFUSAL_KINDS = frozenset(
     {ErrorKind.OVERLOADED, ErrorKind.SHARE_EXHAUSTED, ErrorKind.DEADLINE_TOO_SHORT}
@@ -47,7 +47,11 @@
 
 
 class NextStep(Enum):
-    """What follows a failed attempt."""
+    """What follows a failed attempt.
+
+    ``SECOND_CHOICE`` is one attempt at a second agent after a refusal, paid from the budget of
+    ``second_choice_percent``. ``TRY_ANOTHER_AGENT`` is a further attempt that costs no budget.
+    """
 
     GIVE_UP = auto()
     REDIRECT = auto()
@@ -93,7 +97,7 @@
 def _after_agent_refusal(call: Call) -> NextStep:
     """Return what follows a refusal by an agent without capacity."""
     if len(call.request.body) > UNASKED_BYTES:
-        if call.further_choices < MAX_FURTHER_AGENTS_BODY_HELD:
+        if call.further_choices < MAX_FURTHER_AGENTS_FOR_LARGE_BODY:
             return NextStep.TRY_ANOTHER_AGENT
         return NextStep.GIVE_UP
     return NextStep.GIVE_UP if call.further_choices else NextStep.SECOND_CHOICE
--- a/src/limelever/proxy/slowdown_factors.py
+++ b/src/limelever/proxy/slowdown_factors.py
@@ -35,7 +35,7 @@
             self._by_key[key] = _Observation(permille / _PERMILLE, now)
 
     def factor(self, key: EndpointKey, now: float) -> float:
-        """Return the current factor on the usual time of work at an endpoint."""
+        """Return by what factor work at an endpoint currently takes longer than usual."""
         observation = self._by_key.get(key)
         if observation is None or now - observation.at > EXPIRY_SECONDS:
             return _NORMAL
--- a/src/limelever/proxy/tenant_limits.py
+++ b/src/limelever/proxy/tenant_limits.py
@@ -1,8 +1,8 @@
 """Enforces the tenants' rate limits, which apply to all proxies together.
 
 The proxy reports admitted and refused calls to its relay at short intervals; the relay answers with
-the fraction of each tenant's calls that may be admitted. A proxy that connects to a relay reports
-its use of the whole window.
+the fraction of calls to admit for each tenant near its limit. A proxy that connects to a relay
+reports its use of the whole window.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from limelever.proxy.tenants import TenantEntry
 
 REPORT_INTERVAL_SECONDS = 0.1
-"""Time between two reports."""
+"""Shortest time between two reports."""
 
 _MIN_CALLS_FOR_REPORT = 2
-"""With fewer unreported calls, the next report waits for the quiet interval."""
+"""With fewer unreported calls, the next report waits for ``KEEPALIVE_INTERVAL``."""
 
 
 class _Unreported(Struct):
@@ -48,7 +48,7 @@
     def __init__(self, rules: LimitRules, random_source: random.Random) -> None:
         self._rules = rules
         self._random = random_source
-        self._gates: dict[int, TenantLimiter] = {}
+        self._limiters: dict[int, TenantLimiter] = {}
         self._hash_of: dict[str, int] = {}
         self._node_count = 0
         self._proxy_count = 0
@@ -61,23 +61,23 @@
         self._idle_report_at = 0.0
 
     def __bool__(self) -> bool:
-        return bool(self._gates)
+        return bool(self._limiters)
 
     def set_tenants(self, by_name: Mapping[str, TenantEntry]) -> None:
         """Apply the tenants of the current configuration; recorded use is kept."""
-        gates: dict[int, TenantLimiter] = {}
+        limiters: dict[int, TenantLimiter] = {}
         self._hash_of = {}
         for name, tenant in by_name.items():
             if tenant.rate <= 0:
                 continue
             hashed = self._hash_of[name] = tenant_hash(name)
             limit = Limit(tenant.rate, tenant.burst)
-            existing = self._gates.get(hashed)
-            gates[hashed] = existing or TenantLimiter(limit, self._rules, self._random)
-            gates[hashed].limit = limit
-        self._gates = gates
+            existing = self._limiters.get(hashed)
+            limiters[hashed] = existing or TenantLimiter(limit, self._rules, self._random)
+            limiters[hashed].limit = limit
+        self._limiters = limiters
         self._unreported = {
-            hashed: use for hashed, use in self._unreported.items() if hashed in gates
+            hashed: use for hashed, use in self._unreported.items() if hashed in limiters
         }
 
     def set_node_count(self, node_count: int) -> None:
@@ -93,12 +93,12 @@
         hashed = self._hash_of.get(tenant.name)
         if hashed is None:
             return None
-        gate = self._gates[hashed]
-        if is_late and gate.is_throttled(self._news_age(now)):
-            return self._refusal(tenant, gate, now)
-        admitted = gate.try_admit(self._news_age(now), self._fleet_size(), now)
+        limiter = self._limiters[hashed]
+        if is_late and limiter.is_throttled(self._news_age(now)):
+            return self._refusal(tenant, limiter, now)
+        admitted = limiter.try_admit(self._news_age(now), self._fleet_size(), now)
         self._record_decision(hashed, admitted)
-        return None if admitted else self._refusal(tenant, gate, now)
+        return None if admitted else self._refusal(tenant, limiter, now)
 
     def refund(self, name: str, admitted_at: float, now: float) -> None:
         """Take back the admission of a call that was not run.
@@ -108,7 +108,7 @@
         """
         hashed = self._hash_of.get(name)
         if hashed is not None and now - admitted_at < self._rules.window:
-            self._gates[hashed].usage.add(admitted_at, -1, 0)
+            self._limiters[hashed].usage.add(admitted_at, -1, 0)
             self._unreported.setdefault(hashed, _Unreported()).admitted -= 1
             self._unreported_calls += 1
 
@@ -118,22 +118,22 @@
             self._proxy_count, self._proxy_count_at = news.proxies, now
         self._news_at = now
         for hashed in self._limited.difference(news.tenants):
-            if hashed in self._gates:
-                self._gates[hashed].clear_permille()
+            if hashed in self._limiters:
+                self._limiters[hashed].clear_permille()
         self._limited = frozenset(news.tenants)
         for hashed, permille in zip(news.tenants, news.permille, strict=False):
-            if hashed in self._gates:
-                self._gates[hashed].set_permille(permille, now)
+            if hashed in self._limiters:
+                self._limiters[hashed].set_permille(permille, now)
 
     def full_report(self, now: float) -> TenantUse | None:
         """Return the use of the whole window, for a newly connected relay."""
-        if not self._gates:
+        if not self._limiters:
             return None
         self._schedule_report(now)
         self._unreported = {}
         use = TenantUse(fleet=self._proxy_count)
-        for hashed, gate in self._gates.items():
-            for age, slot in gate.usage.slots(now):
+        for hashed, limiter in self._limiters.items():
+            for age, slot in limiter.usage.slots(now):
                 use.tenants.append(hashed)
                 use.admitted.append(max(0, slot.admitted))
                 use.refused.append(slot.refused)
@@ -163,11 +163,11 @@
 
         This proxy then admits calls only within its own part of each limit.
         """
-        return bool(self._gates) and PEER_TIMEOUT < self._news_age(now) < math.inf
+        return bool(self._limiters) and PEER_TIMEOUT < self._news_age(now) < math.inf
 
     def next_deadline(self) -> float | None:
         """Return when ``report`` must be called next, or ``None``."""
-        if not self._gates:
+        if not self._limiters:
             return None
         return (
             self._report_at
@@ -194,7 +194,7 @@
     def _fleet_size(self) -> int:
         return max(1, self._proxy_count or self._node_count)
 
-    def _refusal(self, tenant: TenantEntry, gate: TenantLimiter, now: float) -> Failure:
+    def _refusal(self, tenant: TenantEntry, limiter: TenantLimiter, now: float) -> Failure:
         news_age = self._news_age(now)
         freshness = (
             f"relay update {news_age:.1f} s old"
@@ -203,9 +203,9 @@
         )
         reason = (
             f"tenant {tenant.name} is at its limit of {tenant.rate:g} calls/s plus a burst of"
-            f" {tenant.burst:g} ({gate.usage.admitted(now)} admitted by this proxy in the last"
+            f" {tenant.burst:g} ({limiter.usage.admitted(now)} admitted by this proxy in the last"
             f" {self._rules.window:g} s, {freshness})"
         )
-        wait = gate.retry_after(news_age, self._fleet_size())
+        wait = limiter.retry_after(news_age, self._fleet_size())
         resources = (f"tenant/{tenant.name}",)
         return Failure(ErrorKind.RATE_LIMITED, reason, resources=resources, retry_after=wait)
--- a/src/limelever/proxy/traffic_split.py
+++ b/src/limelever/proxy/traffic_split.py
@@ -1,7 +1,7 @@
 """Splits a route's calls between services by weight.
 
 Uses smooth weighted round robin: with each call every part gains its weight, and the part with the
-highest balance takes the call and pays the total weight. Any sequence of calls deviates from the
+highest balance takes the call and loses the total weight. Any sequence of calls deviates from the
 exact shares by less than one call per part. Each proxy starts at a random offset, so that many
 proxies with few calls do not all begin with the same part.
 """
@@ -14,7 +14,7 @@
 
 _SINGLE_PART = 1
 _MAX_INITIAL_OFFSET = 100
-"""Largest number of calls by which the start of a rotation is shifted."""
+"""The start of a rotation is shifted by fewer calls than this."""
 
 
 class _SmoothWeightedRoundRobin:
