--- a/features/steps/prior_wait_steps.py
+++ b/features/steps/prior_wait_steps.py
@@ -68,14 +68,14 @@
 def given_wait(context, service, wait):
     groups = GroupTable(1, 32)
     context.group = GroupQueue(ROUTE, 1)
-    context.estimate = WaitEstimator(6, groups)
-    context.estimate.observe(ROUTE, service / 1000)
+    context.wait_estimator = WaitEstimator(6, groups)
+    context.wait_estimator.observe(ROUTE, service / 1000)
     context.wait = wait / 1000
 
 
 def is_refused(context, target):
     call = QueuedCall(1, ROUTE, 2.0, 0, 0.0, target)
-    return context.estimate.exceeds_wait_limit(context.group, call, 0.0, context.wait)
+    return context.wait_estimator.exceeds_wait_limit(context.group, call, 0.0, context.wait)
 
 
 @then("a call with {target:d} ms to its latency target is queued")
--- a/features/steps/rate_limit_alternatives.py
+++ b/features/steps/rate_limit_alternatives.py
@@ -30,9 +30,9 @@
 class FractionLimits(TenantLimits):
     def set_tenants(self, by_name) -> None:
         super().set_tenants(by_name)
-        for number, limiter in self._limiters.items():
+        for hashed, limiter in self._limiters.items():
             if not isinstance(limiter, FractionLimiter):
-                self._limiters[number] = FractionLimiter(limiter.limit, self._rules, self._random)
+                self._limiters[hashed] = FractionLimiter(limiter.limit, self._rules, self._random)
 
 
 class FractionBoard(LimitBoard):
@@ -62,25 +62,25 @@
         self._tokens: dict[int, tuple[float, float]] = {}
 
     def admit(self, tenant, now):
-        number = self._hash_of.get(tenant.name)
-        if number is None:
+        hashed = self._hash_of.get(tenant.name)
+        if hashed is None:
             return None
         limit = Limit(tenant.rate, tenant.burst)
-        rate, expires_at = self._rates.get(number, (0.0, 0.0))
+        rate, expires_at = self._rates.get(hashed, (0.0, 0.0))
         equal_share = self._rules.target_calls(limit) / max(1, self._node_count)
         if now > expires_at:
             rate = equal_share / self._rules.window
-        max_rate = 1.0 + self._rules.slack / max(1, self._node_count) + rate
-        tokens, at = self._tokens.get(number, (min(1.0, max_rate), now))
-        tokens = min(max_rate, tokens + rate * (now - at))
-        self._tokens[number] = (tokens - 1 if tokens >= 1 else tokens, now)
-        self._record_decision(number, tokens >= 1)
-        self._limiters[number].usage.add(now, int(tokens >= 1), int(tokens < 1))
+        capacity = 1.0 + self._rules.slack / max(1, self._node_count) + rate
+        tokens, at = self._tokens.get(hashed, (min(1.0, capacity), now))
+        tokens = min(capacity, tokens + rate * (now - at))
+        self._tokens[hashed] = (tokens - 1 if tokens >= 1 else tokens, now)
+        self._record_decision(hashed, tokens >= 1)
+        self._limiters[hashed].usage.add(now, int(tokens >= 1), int(tokens < 1))
         return None if tokens >= 1 else Failure(ErrorKind.RATE_LIMITED, "no lease")
 
     def apply_news(self, news, now):
-        for number, rate in zip(news.tenants, news.permille, strict=True):
-            self._rates[number] = (rate / 1000, now + LEASE_SECONDS)
+        for hashed, rate in zip(news.tenants, news.permille, strict=True):
+            self._rates[hashed] = (rate / 1000, now + LEASE_SECONDS)
 
 
 class LeaseBoard(LimitBoard):
--- a/features/steps/rate_limit_fleet.py
+++ b/features/steps/rate_limit_fleet.py
@@ -112,7 +112,7 @@
         self._make_limits, self._make_board = make_limits, make_board
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._arrives: dict[tuple[str, str], float] = {}
+        self._last_arrival: dict[tuple[str, str], float] = {}
         self.tenants = {
             name: Tenant(
                 TenantEntry(name, 0, usual_rate * limit_factor, usual_rate * limit_factor),
@@ -319,9 +319,10 @@
         direction = (one.name, other.name)
         delay = 0.2 if self.random.random() < self.loss else 0.0
         at = max(
-            self._arrives.get(direction, 0.0), self.now + self.delay * self.random.random() + delay
+            self._last_arrival.get(direction, 0.0),
+            self.now + self.delay * self.random.random() + delay,
         )
-        self._arrives[direction] = at
+        self._last_arrival[direction] = at
         heapq.heappush(self._queue, (at, next(self._order), arrive))
 
     def _deliver(self) -> None:
--- a/src/limelever/proxy/admission.py
+++ b/src/limelever/proxy/admission.py
@@ -52,9 +52,9 @@
 
     ``default_timeout`` applies to routes without a timeout of their own. ``stale_after`` is the age
     of the last confirmation from which refusals based on the route table become ``STALE``.
-    ``revoked_after`` is the age from which API keys are no longer accepted, because a key may have
-    been revoked since; 0 accepts them at any age. ``key_header`` is the header that carries the
-    caller's API key.
+    ``revoked_after`` is the age of that confirmation from which API keys are no longer accepted,
+    because they may have been revoked since; 0 accepts them at any age. ``key_header`` is the
+    header that carries the caller's API key.
     """
 
     default_timeout: float = 10.0
--- a/src/limelever/proxy/balancer.py
+++ b/src/limelever/proxy/balancer.py
@@ -60,10 +60,13 @@
 
 
 class _PickRequest(Struct, frozen=True):
-    """Requirements of a call on its endpoint; times in seconds, see :meth:`Balancer.pick`."""
+    """What a call requires of its endpoint; times in seconds, see :meth:`Balancer.pick`.
+
+    ``zone_load`` is the mean reported load of the endpoints in the proxy's own zone.
+    """
 
     route: str
-    ramp: float
+    slow_start: float
     now: float
     local_budget: float
     small: bool
@@ -109,9 +112,9 @@
         """
         if not usable:
             return None
-        ramp = slow_start or self._settings.slow_start
+        effective_slow_start = slow_start or self._settings.slow_start
         zone_load = self._mean_zone_load(usable)
-        request = _PickRequest(route, ramp, now, local_budget, small, zone_load)
+        request = _PickRequest(route, effective_slow_start, now, local_budget, small, zone_load)
         ejected = self._current_ejections(usable[0].key.service, now)
         if len(usable) - len(ejected) < self._floor(usable):
             usable = self._healthy_or_floor(usable, now)
@@ -302,7 +305,7 @@
     ) -> float:
         own = health.in_flight + added
         other = self._other_load(entry, health, request)
-        return (own + other) / self._capacity(entry, request.ramp, request.now)
+        return (own + other) / self._capacity(entry, request.slow_start, request.now)
 
     def _other_load(
         self, entry: EndpointEntry, health: EndpointHealth, request: _PickRequest
@@ -328,8 +331,8 @@
         local = self._local_of(usable)
         return self._zone_loads.mean(usable[0].key.service, len(local))
 
-    def _capacity(self, entry: EndpointEntry, ramp: float, now: float) -> float:
+    def _capacity(self, entry: EndpointEntry, slow_start: float, now: float) -> float:
         age = now - entry.cold_since
-        if age >= ramp:
+        if age >= slow_start:
             return float(entry.slots)
-        return entry.slots * max(self._settings.initial_capacity, age / ramp)
+        return entry.slots * max(self._settings.initial_capacity, age / slow_start)
