--- a/features/proxy/request_path.feature
+++ b/features/proxy/request_path.feature
@@ -124,7 +124,7 @@
     Given any number of calls to overloaded agents, retries stay within the budget
 
   Scenario: The retry budget is never exceeded
-    Given any order of fresh calls and retries, the retry budget holds
+    Given any order of first attempts and retries, the retry budget holds
 
   Scenario: A call refused by a draining agent is retried at another agent
     Given a proxy with 2 endpoints
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -415,19 +415,19 @@
     check()
 
 
-@given("any order of fresh calls and retries, the retry budget holds")
+@given("any order of first attempts and retries, the retry budget holds")
 def budget_holds(context: Context) -> None:
     @derandomized
     @examples(st.integers(1, 100), st.lists(st.booleans(), max_size=400))
     def check(percent: int, plan: list[bool]) -> None:
         budget = RetryBudget(percent)
-        fresh = taken = 0
-        for is_fresh in plan:
-            if is_fresh:
-                budget.record_fresh_call()
-                fresh += 1
+        first_attempts = taken = 0
+        for is_first in plan:
+            if is_first:
+                budget.record_first_attempt()
+                first_attempts += 1
             else:
                 taken += budget.try_take()
-            assert taken * 100 <= fresh * percent
+            assert taken * 100 <= first_attempts * percent
 
     check()
--- a/src/limelever/proxy/agent_messages.py
+++ b/src/limelever/proxy/agent_messages.py
@@ -21,7 +21,7 @@
 )
 from limelever.proxy import events
 from limelever.proxy.answer_assembly import AnswerAssembly
-from limelever.proxy.attempt_ends import AttemptEnds
+from limelever.proxy.attempt_completion import AttemptCompleter
 from limelever.proxy.call_messages import next_body_chunks
 from limelever.proxy.call_state import Attempt, AttemptEnded, Call, CallTable
 from limelever.proxy.health import Verdict
@@ -45,12 +45,12 @@
     def __init__(
         self,
         calls: CallTable,
-        ends: AttemptEnds,
+        completer: AttemptCompleter,
         assembly: AnswerAssembly,
         outputs: list[Output],
     ) -> None:
         self._calls = calls
-        self._ends = ends
+        self._completer = completer
         self._assembly = assembly
         self._outputs = outputs
 
@@ -68,7 +68,7 @@
         if isinstance(message, ResponseBody):
             return self._handle_body(call, call.attempt, message, now)
         if message.HasField("load"):
-            self._ends.observe(call, call.attempt, message.load, now)
+            self._completer.record_load(call, call.attempt, message.load, now)
         if isinstance(message, CallFailed):
             return self._handle_failure(call, call.attempt, message, now)
         call.attempt.status = message.status
@@ -95,13 +95,13 @@
         self, call: Call, attempt: Attempt, data: bytes, end: bool, now: float
     ) -> AttemptEnded | None:
         if end and not attempt.body:
-            return self._ends.succeed(call, attempt, data, now)
+            return self._completer.succeed(call, attempt, data, now)
         overflow = self._assembly.add(attempt, data)
         if overflow is not None:
             message = CallCancel(stream=attempt.stream)
             self._outputs.append(SendMessage(attempt.connection, message))
-            return self._ends.fail(call, overflow.kind, overflow.reason, now)
-        return self._ends.succeed(call, attempt, bytes(attempt.body), now) if end else None
+            return self._completer.fail(call, overflow.kind, overflow.reason, now)
+        return self._completer.succeed(call, attempt, bytes(attempt.body), now) if end else None
 
     def _handle_failure(
         self, call: Call, attempt: Attempt, message: CallFailed, now: float
@@ -112,14 +112,14 @@
             retry_after=message.retry_after_ms / _MILLISECONDS,
         )
         if failure.kind in (ErrorKind.DRAINING, ErrorKind.WRONG_INCARNATION):
-            self._ends.retire(attempt)
+            self._completer.retire(attempt)
         if attempt.status and failure.outcome is Outcome.NOT_RUN:
             failure = Failure(ErrorKind.BACKEND_FAILED, f"answer aborted: {failure.reason}")
         verdict = Verdict.FAILED if failure.kind in _ENDPOINT_FAILURE_KINDS else Verdict.NEUTRAL
         if attempt.verdict_if_run is not None and failure.outcome is not Outcome.NOT_RUN:
             failure = Failure(ErrorKind.DEADLINE_EXCEEDED, "no answer within the deadline")
             verdict = attempt.verdict_if_run
-        self._ends.close(call, attempt, verdict, now)
+        self._completer.close(call, attempt, verdict, now)
         return AttemptEnded(call, failure, message.crash, attempt.known_depth)
 
 
--- a/src/limelever/proxy/caller_timeouts.py
+++ b/src/limelever/proxy/caller_timeouts.py
@@ -1,8 +1,8 @@
-"""Tells first requests from resends by the timeouts that the callers of a route send.
+"""Tells first requests from retries by the timeouts that the callers of a route send.
 
-Callers that resend a request after a refusal have already waited and send a shorter remaining
-timeout. When many do, the timeouts of first requests form a cluster above a gap in the
-distribution. Without a gap, first requests and resends cannot be told apart.
+Callers that retry after a refusal have already waited and send a shorter remaining timeout. When
+many do, the timeouts of first requests form a cluster above a gap in the distribution. Without a
+gap, first requests and retries cannot be told apart.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 def first_request_timeouts(
     counts: Counter[int], min_fraction: float
 ) -> FirstRequestTimeouts | None:
-    """Return the timeouts of first requests, or ``None`` if they cannot be told from resends.
+    """Return the timeouts of first requests, or ``None`` if they cannot be told from retries.
 
     ``counts`` maps timeouts in milliseconds to numbers of callers. At least ``min_fraction`` of
     all callers must lie above the gap.
--- a/src/limelever/proxy/calls.py
+++ b/src/limelever/proxy/calls.py
@@ -17,12 +17,12 @@
 from limelever.protocol.keeper_pb2 import RecordedAnswer
 from limelever.proxy import claims, events
 from limelever.proxy.admission import (
-    STOPPING,
+    PROXY_STOPPING,
     AdmissionSettings,
     CallAdmission,
     call_timeout,
 )
-from limelever.proxy.attempts import Attempts
+from limelever.proxy.attempts import AttemptDispatcher
 from limelever.proxy.call_log import CallLog, open_calls_event
 from limelever.proxy.call_state import AttemptEnded, Call, CallTable, Phase
 from limelever.proxy.call_types import AnswerCall, CallAnswer, CallRequest
@@ -68,7 +68,7 @@
         self,
         settings: CallSettings,
         calls: CallTable,
-        attempts: Attempts,
+        attempts: AttemptDispatcher,
         limits: GroupLimits,
         tenant_limits: TenantLimits,
         keepers: claims.KeeperClient,
@@ -85,7 +85,7 @@
         self._claims = claims.CallClaims(keepers, calls, random_source, outputs)
         self._quarantine = quarantine
         self._outputs = outputs
-        self._retry_budgets = RetryBudgets(settings.retry.fleet_saved)
+        self._retry_budgets = RetryBudgets(settings.retry.fleet_saved_retries)
         self._second_choice_percent = settings.retry.second_choice_percent
         self._second_choice_budgets = RetryBudgets()
         self._attempts_stopped = False
@@ -100,18 +100,20 @@
     def set_table(self, table: RouteTable) -> None:
         """Route new calls by ``table``; calls in flight keep their route."""
         self._admission.set_table(table)
-        self._attempts.set_secret_names(table.secret_names, callers_show_keys=bool(table.tenants))
+        self._attempts.set_reserved_headers(
+            table.secret_names, callers_send_keys=bool(table.tenants)
+        )
         self._retry_budgets.keep_only(table.services())
         self._second_choice_budgets.keep_only(table.services())
         self._attempts.keep_only(table.route_names())
 
     def table_confirmed(self, at: float) -> None:
         """Record when the table was last confirmed current (seconds, monotonic)."""
-        self._admission.table_proved(at)
+        self._admission.table_confirmed(at)
 
     def set_node_count(self, nodes: int) -> None:
         """Set the number of nodes whose proxies share the retry budget of each service."""
-        self._retry_budgets.share_between(nodes)
+        self._retry_budgets.set_node_count(nodes)
 
     # --- events from callers -------------------------------------------------------------------
 
@@ -121,7 +123,7 @@
         admitted = admission.admit(number, request, now)
         if isinstance(admitted, Failure):
             refusal = with_retry_after(admitted)
-            self._log.not_admitted(request, refusal, admission.version, admission.proved_at, now)
+            self._log.not_admitted(request, refusal, admission.version, admission.confirmed_at, now)
             self._outputs.append(AnswerCall(number, refusal))
             return
         self._calls.add(admitted)
@@ -132,11 +134,11 @@
         route = admitted.route
         self._retry_budgets.of(
             admitted.destination.service, route.retry_budget_percent
-        ).record_fresh_call()
+        ).record_first_attempt()
         if self._second_choice_percent:
             self._second_choice_budgets.of(
                 admitted.destination.service, self._second_choice_percent
-            ).record_fresh_call()
+            ).record_first_attempt()
         if route.at_most_once:
             self._claims.begin(admitted, now)
         else:
@@ -177,7 +179,7 @@
                 self._attempts.cancel_unless_begun(call)
             elif call.phase in (Phase.DIALLING, Phase.CLAIMING):
                 self._attempts.abandon(call, Verdict.NEUTRAL, now)
-                self._fail(call, STOPPING, now)
+                self._fail(call, PROXY_STOPPING, now)
 
     def end_open_calls(self, now: float) -> None:
         """Give each open call its final answer because the process is about to exit.
@@ -191,8 +193,8 @@
                 self._completion_ended(call, False, now)
                 continue
             sent = call.phase in (Phase.HANDED_ON, Phase.CANCELLING)
-            self._attempts.let_go(call, now)
-            self._fail(call, _STOPPED_BEFORE_ANSWER if sent else STOPPING, now)
+            self._attempts.abandon_without_cancel(call, now)
+            self._fail(call, _STOPPED_BEFORE_ANSWER if sent else PROXY_STOPPING, now)
 
     def cancel_quarantined_calls(self, now: float) -> None:
         """End the calls of quarantined requests that no back end has started."""
@@ -227,7 +229,7 @@
 
     def claim_granted(self, token: bytes, now: float) -> None:
         """Start the call's first attempt: a majority of the keepers granted its claim."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is None:
             self._claims.release(token, now)
             return
@@ -239,20 +241,20 @@
 
     def claim_replayed(self, token: bytes, record: RecordedAnswer, now: float) -> None:
         """Answer a resent call with the answer recorded for the original."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is not None:
-            self._end(call, claims.replayed(record), now)
+            self._end(call, claims.replayed_answer(record), now)
 
     def claim_refused(self, token: bytes, failure: Failure, now: float) -> None:
         """Answer a call whose claim was refused; release what a minority of keepers granted."""
-        call = self._claims.claiming(token)
+        call = self._claims.waiting_for_claim(token)
         if call is not None:
             self._claims.release(token, now)
             self._end(call, with_retry_after(failure), now)
 
     def completion_settled(self, token: bytes, recorded: bool, now: float) -> None:
         """Answer the caller once its answer was recorded, or recording failed."""
-        call = self._claims.completing(token)
+        call = self._claims.waiting_for_completion(token)
         if call is not None:
             self._completion_ended(call, recorded, now)
 
@@ -291,7 +293,7 @@
             call.backend_attempts += 1
         if result.outcome is not Outcome.NOT_RUN and call.may_have_run is None:
             call.may_have_run = result
-        if ended.crash and self._quarantine.crashed(ended, now):
+        if ended.crash and self._quarantine.record_crash(ended, now):
             self.cancel_quarantined_calls(now)
         refusal = self._quarantine.refusal(call, now)
         if refusal is not None and result.outcome is Outcome.NOT_RUN:
@@ -307,7 +309,7 @@
     def _may_retry(self, call: Call, failure: Failure, now: float) -> bool:
         if self._attempts_stopped or now >= call.deadline or failure.kind is ErrorKind.QUARANTINED:
             return False
-        if failure.kind is ErrorKind.BACKEND_CRASHED and not self._quarantine.may_try_again(call):
+        if failure.kind is ErrorKind.BACKEND_CRASHED and not self._quarantine.may_retry(call):
             return False
         step = next_step(call, failure, self._settings.retry)
         if step is NextStep.REDIRECT:
@@ -315,7 +317,7 @@
             return True
         if step is NextStep.GIVE_UP:
             return False
-        if step is NextStep.ASK_ANOTHER:
+        if step is NextStep.TRY_ANOTHER_AGENT:
             call.alternates_tried += 1
             return True
         if step is NextStep.SECOND_CHOICE:
@@ -328,7 +330,7 @@
         ).try_take()
 
     def _backend_answered(self, call: Call, answer: CallAnswer, now: float) -> None:
-        self._quarantine.answered(call, answer.status, now)
+        self._quarantine.record_answer(call, answer.status, now)
         if not call.route.at_most_once:
             self._end(call, answer, now)
             return
@@ -375,16 +377,16 @@
     def _fail(self, call: Call, failure: Failure, now: float) -> None:
         """End a call and its claim with a failure."""
         failure = final_failure(call, failure)
-        self._claims.failed(call, failure, now)
+        self._claims.end_failed(call, failure, now)
         self._end(call, failure, now)
 
     def _end(self, call: Call, answer: CallAnswer | Failure, now: float) -> None:
         self._log.ended(call, answer, now)
         self._calls.remove(call)
-        self._quarantine.ended(call)
+        self._quarantine.release_trial(call)
         self._limits.release(call.share)
         if call.tenant and isinstance(answer, Failure) and answer.outcome is Outcome.NOT_RUN:
-            self._tenant_limits.give_back(call.tenant, call.arrived_at, now)
+            self._tenant_limits.refund(call.tenant, call.arrived_at, now)
         if not call.caller_gone:
             seconds = now - call.arrived_at
             self._outputs.append(AnswerCall(call.number, answer, call.route.name, seconds))
--- a/src/limelever/proxy/core.py
+++ b/src/limelever/proxy/core.py
@@ -34,7 +34,7 @@
 from limelever.protocol.keys import Key
 from limelever.proxy import events
 from limelever.proxy.agent_links import AgentLinks
-from limelever.proxy.attempts import Attempts, AttemptSettings
+from limelever.proxy.attempts import AttemptDispatcher, AttemptSettings
 from limelever.proxy.balancer import Balancer, BalancerSettings
 from limelever.proxy.call_state import CallTable
 from limelever.proxy.call_types import (
@@ -52,8 +52,8 @@
 from limelever.proxy.endpoints import EndpointView
 from limelever.proxy.group_limits import GroupLimits, LimitSettings
 from limelever.proxy.health import HealthSettings
-from limelever.proxy.limit_reports import LimitReports
-from limelever.proxy.quarantine import CrashNewsFound, Quarantine
+from limelever.proxy.limit_usage_reporter import LimitUsageReporter
+from limelever.proxy.quarantine import Quarantine, SendCrashNews
 from limelever.proxy.route_table_builder import build_route_table, update_route_table
 from limelever.proxy.router import RouteTable
 from limelever.proxy.tenant_limits import TenantLimits
@@ -115,7 +115,7 @@
         )
         self._keepers = KeeperClientCore(settings.keepers, connections, random_source)
         self._tenant_limits = TenantLimits(settings.tenant_limits, random_source)
-        self._limit_reports = LimitReports(self._tenant_limits, self._subscriber)
+        self._limit_reports = LimitUsageReporter(self._tenant_limits, self._subscriber)
         self._table: RouteTable | None = None
         self._rebuild_needed = False
         self._endpoints = EndpointView()
@@ -123,7 +123,7 @@
         self._balancer = Balancer(settings.balancer, settings.health, random_source)
         self._links = AgentLinks(connections, random_source)
         self._calls = CallTable()
-        attempts = Attempts(
+        attempts = AttemptDispatcher(
             settings.attempts,
             self._calls,
             self._endpoints,
@@ -157,7 +157,7 @@
             LoadsReceived: self._update_loads,
             CrashNewsReceived: self._handle_crash_news,
             LimitNewsReceived: self._handle_limit_news,
-            CrashNewsFound: self._forward_crash_news,
+            SendCrashNews: self._forward_crash_news,
             ClaimSettled: self._handle_claim_outcome,
             CompletionSettled: self._handle_completion,
         }
@@ -196,7 +196,7 @@
                 self._deadline_reached(event, now)
             case _:
                 self._link_event(event, now)
-                self._outputs.extend(self._limit_reports.due(now))
+                self._outputs.extend(self._limit_reports.poll(now))
         return self._drain_outputs(now)
 
     def next_deadline(self) -> float | None:
@@ -234,7 +234,7 @@
         self._engine.wake(now)
         self._outputs.extend(self._keepers.tick(now))
         self._outputs.extend(self._subscriber.handle(event, now))
-        self._outputs.extend(self._limit_reports.due(now))
+        self._outputs.extend(self._limit_reports.poll(now))
         if now >= self._next_sweep_at:
             self._next_sweep_at = now + SWEEP_INTERVAL_SECONDS
             busy = self._calls.busy_connections()
@@ -319,24 +319,24 @@
     def _update_endpoints(self, received: EndpointsReceived, now: float) -> None:
         self._endpoints.apply(received.update, now)
         self._engine.set_node_count(len(self._endpoints.keys()))
-        self._tenant_limits.nodes_known(len(self._endpoints.keys()))
+        self._tenant_limits.set_node_count(len(self._endpoints.keys()))
 
     def _update_loads(self, received: LoadsReceived, now: float) -> None:
         for report in unpack(received.update):
             key = self._endpoints.by_hash(report.number)
             if key is not None:
                 self._balancer.observe_zone_load(key, report.news.load, now)
-                self._balancer.observe_pace(key, report.news.pace_permille, now)
+                self._balancer.observe_slowdown(key, report.news.pace_permille, now)
 
     def _handle_crash_news(self, received: CrashNewsReceived, now: float) -> None:
-        if self._quarantine.take(received.news, now):
+        if self._quarantine.apply_news(received.news, now):
             self._engine.cancel_quarantined_calls(now)
 
     def _handle_limit_news(self, received: LimitNewsReceived, now: float) -> None:
-        self._tenant_limits.take_news(received.news, now)
+        self._tenant_limits.apply_news(received.news, now)
 
-    def _forward_crash_news(self, found: CrashNewsFound, _now: float) -> None:
-        self._outputs.extend(self._subscriber.send_up(found.news))
+    def _forward_crash_news(self, crash_news: SendCrashNews, _now: float) -> None:
+        self._outputs.extend(self._subscriber.send_up(crash_news.news))
 
     def _handle_claim_outcome(self, settled: ClaimSettled, now: float) -> None:
         match settled.outcome:
