--- a/features/steps/instance_pace_steps.py
+++ b/features/steps/instance_pace_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import given as examples
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from proxy_host import agents
+from proxy_harness import agent_endpoints
 
 from limelever.agent.interface import AttemptAnswered
 from limelever.agent.load_header import parse_pace
@@ -62,12 +62,12 @@
     " usual"
 )
 def given_two(context: Context, factor: float) -> None:
-    endpoints = [agents(1, "here", 12, number)[0] for number in range(2)]
+    endpoints = [agent_endpoints(1, "here", 12, number)[0] for number in range(2)]
     context.usable = view_of(endpoints).usable(SERVICE, 0.0)
     context.balancer, context.now = balancer_of(), NOW
     for entry in context.usable:
         context.balancer.observe_load(entry.key, 0, NOW, 0.1)
-    context.balancer.observe_pace(context.usable[0].key, int(factor * 1000), NOW)
+    context.balancer.observe_slowdown(context.usable[0].key, int(factor * 1000), NOW)
 
 
 @when("{seconds:g} seconds pass without a further report")
@@ -79,7 +79,7 @@
     """Return the indexes of the chosen endpoints, with all calls in flight at once."""
     indexes = []
     for _ in range(PICKS):
-        entry = context.balancer.pick(context.usable, context.now, local_within=1.0)
+        entry = context.balancer.pick(context.usable, context.now, local_budget=1.0)
         indexes.append(context.usable.index(entry))
     return set(indexes)
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -16,8 +16,8 @@
 from limelever.proxy.call_state import AttemptEnded, Call
 from limelever.proxy.call_types import CallRequest
 from limelever.proxy.group_limits import ShareKey
-from limelever.proxy.quarantine import CrashNewsFound, Quarantine
-from limelever.proxy.router import RouteEntry, RoutePart
+from limelever.proxy.quarantine import Quarantine, SendCrashNews
+from limelever.proxy.router import RouteDestination, RouteEntry
 from limelever.quarantine.crash_history import CrashHistory, SuspectRequest
 from limelever.quarantine.fingerprint import Fingerprint
 from limelever.quarantine.policy import quarantine_duration
@@ -187,13 +187,13 @@
         for crash in range(crashes):
             history.add_crash((SuspectRequest(REQUEST, crash),), crash + 1, 0.0)
         for each in self.all:
-            each.take(history.update_for((REQUEST.request,), 0.0), 0.0)
+            each.apply_news(history.update_for((REQUEST.request,), 0.0), 0.0)
         self.calls = 0
 
     def arrive(self, proxy: int, now: float) -> bool:
         """Pass the request to a proxy; return whether it may reach a back end."""
         self.calls += 1
-        part = RoutePart("orders", 1, 0, 0.0)
+        part = RouteDestination("orders", 1, 0, 0.0)
         route = RouteEntry(
             "orders", (part,), frozenset(), False, True, CALL_KIND_REPEATABLE, 1.0, 10, ()
         )
@@ -203,9 +203,9 @@
 
     def exchange_updates(self, now: float) -> None:
         for output in [o for outputs in self.outputs for o in outputs]:
-            if isinstance(output, CrashNewsFound):
+            if isinstance(output, SendCrashNews):
                 for each in self.all:
-                    each.take(output.news, now)
+                    each.apply_news(output.news, now)
         for outputs in self.outputs:
             outputs.clear()
 
@@ -227,8 +227,8 @@
         now += context.interval
     print(f"answered after {now:.1f} s")
     assert least <= now <= most, now
-    proxies.all[proxy].answered(proxies.call, 200, now)
-    proxies.all[proxy].ended(proxies.call)
+    proxies.all[proxy].record_answer(proxies.call, 200, now)
+    proxies.all[proxy].release_trial(proxies.call)
     proxies.exchange_updates(now)
     assert all(proxies.arrive(each, now + UPDATE_DELAY) for each in range(len(proxies.all)))
 
@@ -244,8 +244,8 @@
         if proxies.arrive(proxy, now):
             reached += 1
             crash = AttemptEnded(proxies.call, CRASHED, 100 + reached, 3)
-            proxies.all[proxy].crashed(crash, now)
-            proxies.all[proxy].ended(proxies.call)
+            proxies.all[proxy].record_crash(crash, now)
+            proxies.all[proxy].release_trial(proxies.call)
             proxies.exchange_updates(now)
         now += context.interval
     assert reached == count, reached
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -280,7 +280,7 @@
 @then('{part} of its calls go to "v2" and the others to "v1"')
 def step_split(context, part):
     calls = 2000
-    pools = [context.gates[0].let("orders", context.usable) for _ in range(calls)]
+    pools = [context.gates[0].eligible("orders", context.usable) for _ in range(calls)]
     versions = [{entry.version for entry in pool} for pool in pools]
     assert all(len(each) == 1 for each in versions)
     counts = Counter(version for each in versions for version in each)
@@ -293,14 +293,14 @@
 def step_same_endpoints(context, count):
     canaries = []
     for gate in context.gates:
-        pools = [gate.let("orders", context.usable) for _ in range(2000)]
+        pools = [gate.eligible("orders", context.usable) for _ in range(2000)]
         canaries.append({e.key for pool in pools for e in pool if e.version == "v2"})
     assert canaries[0] == canaries[1] and len(canaries[0]) == count, canaries
 
 
 @then("all its endpoints may receive calls")
 def step_all_endpoints(context):
-    assert context.gates[0].let("orders", context.usable) is context.usable
+    assert context.gates[0].eligible("orders", context.usable) is context.usable
 
 
 def replacing_batch(number, service, route):
--- a/features/steps/tenant_proxy.py
+++ b/features/steps/tenant_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy core with tenants, one agent that takes every call, and a hand on its clock."""
+"""A proxy core with tenants, one agent that accepts every call, and a controllable clock."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 from limelever.protocol.keys import tenant_key
 from limelever.protocol.tenant_keys import digest_of
 from limelever.proxy.admission import AdmissionSettings
+from limelever.proxy.api_key_auth import ApiKeyHeader
 from limelever.proxy.attempts import AttemptSettings
 from limelever.proxy.call_types import AnswerCall, CallArrived, CallRequest
-from limelever.proxy.caller_keys import KeyHeader
 from limelever.proxy.calls import CallSettings
 from limelever.proxy.core import ProxyCore, ProxyCoreSettings
 from limelever.subscriber.configuration import EMPTY_CONFIGURATION
@@ -68,10 +68,10 @@
 
 
 class TenantProxy:
-    """Times are virtual seconds; ``now`` begins at 100."""
+    """Drives the core in virtual time; ``now`` starts at 100 seconds."""
 
-    def __init__(self, tenants, revoked_after=0.0, proved=True):
-        header = KeyHeader(NAMES.authorization, NAMES.key_scheme)
+    def __init__(self, tenants, revoked_after=0.0, confirmed=True):
+        header = ApiKeyHeader(NAMES.authorization, NAMES.key_scheme)
         admission = AdmissionSettings(key_header=header, revoked_after=revoked_after)
         self.now = 100.0
         self.core = ProxyCore(
@@ -89,8 +89,8 @@
         self.logs, self.starts, self.answers = [], [], []
         routes = [route(*each) for each in ROUTES]
         self.change([versioned(service=Service(name="orders")), *routes, *tenants])
-        if proved:
-            self.core._take_proof(FreshnessProved(self.now), self.now)
+        if confirmed:
+            self.core._record_freshness(FreshnessProved(self.now), self.now)
         endpoint = Endpoint(
             service="orders",
             instance="i1",
@@ -102,7 +102,7 @@
             state=ENDPOINT_STATE_READY,
         )
         update = EndpointsReceived(EndpointUpdate(endpoints=[endpoint]))
-        self.core._merge_endpoints(update, self.now)
+        self.core._update_endpoints(update, self.now)
         self.number = 0
 
     def change(self, put, removed=()):
@@ -112,8 +112,8 @@
         installed = ConfigurationInstalled(
             self.version, self.configuration, put=tuple(put), removed=tuple(keys)
         )
-        self.core._install(installed, self.now)
-        self._take(self.core._take_outputs(self.now))
+        self.core._apply_configuration(installed, self.now)
+        self._process(self.core._drain_outputs(self.now))
 
     def call(self, route_name, headers):
         self.number += 1
@@ -126,18 +126,18 @@
             timeout=5.0,
             request_id=b"c1",
         )
-        self._take(self.core.handle(CallArrived(self.number, request), self.now))
+        self._process(self.core.handle(CallArrived(self.number, request), self.now))
 
-    def wait(self, seconds):
+    def advance(self, seconds):
         self.now += seconds
-        self._take(self.core.handle(DeadlineReached(), self.now))
+        self._process(self.core.handle(DeadlineReached(), self.now))
 
-    def _take(self, outputs):
+    def _process(self, outputs):
         for output in outputs:
             if isinstance(output, OpenConnection):
                 peer = Peer(Role.AGENT, "agent", "", Purpose.CALLS, incarnation=1)
                 opened = ConnectionOpened(output.connection, peer)
-                self._take(self.core.handle(opened, self.now))
+                self._process(self.core.handle(opened, self.now))
             elif isinstance(output, SendMessage) and isinstance(output.message, CallStart):
                 self.starts.append(output.message)
             elif isinstance(output, AnswerCall):
--- a/features/steps/moved_bytes_steps.py
+++ b/features/steps/transfer_size_steps.py
@@ -1,4 +1,4 @@
-"""Steps for how long calls wait for their own zone, by the bytes they move."""
+"""Steps for how long calls may take in their own zone, by the bytes they transfer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from limelever.proxy.moved_bytes import MovedBytes
+from limelever.proxy.transfer_size import TransferSizes
 
 ROUTE = "lookup"
 NOW = 10.0
@@ -14,32 +14,32 @@
 
 @given("a route with 1 second to its target whose answers have {answer:S} bytes")
 def given_route(context, answer):
-    context.moved = MovedBytes()
+    context.sizes = TransferSizes()
     if answer != "no":
         for _ in range(20):
-            context.moved.observe(ROUTE, int(answer))
+            context.sizes.observe(ROUTE, int(answer))
 
 
 @when("the configuration no longer holds that route")
 def when_gone(context):
-    context.moved.keep_only(frozenset({"another"}))
+    context.sizes.keep_only(frozenset({"another"}))
 
 
-@then("a call on it with a body of {body:d} bytes may wait {milliseconds:d} ms for its own zone")
-def then_may_wait(context, body, milliseconds):
+@then("a call on it with a body of {body:d} bytes may take {milliseconds:d} ms in its own zone")
+def then_may_take(context, body, milliseconds):
     call = SimpleNamespace(
         request=SimpleNamespace(body=bytes(body)),
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
-        target=NOW + 1.0,
+        target_at=NOW + 1.0,
     )
-    found = context.moved.local_within(call, NOW)
+    found = context.sizes.local_time_limit(call, NOW)
     assert round(found * 1000) == milliseconds, found
 
 
 @then("a call on it with a body of {body:d} bytes is {kind:w}")
-def then_kind(context, body, kind):
+def then_size_class(context, body, kind):
     call = SimpleNamespace(
         request=SimpleNamespace(body=bytes(body)),
         route=SimpleNamespace(name=ROUTE, target_latency=1.0),
     )
-    assert context.moved.is_light(call) is (kind == "light")
+    assert context.sizes.is_small(call) is (kind == "small")
--- a/src/limelever/node/agent_supervisor.py
+++ b/src/limelever/node/agent_supervisor.py
@@ -34,7 +34,7 @@
 from limelever.common.sansio import Address, Event, Output, Purpose, Role
 from limelever.node.reports import InstanceReport, InstanceTracker, ReportOutcome
 from limelever.node.settings import NodeSettings, agent_settings, registration_backoff
-from limelever.proxy.call_types import ConfigurationInForce, HealthPathKnown
+from limelever.proxy.call_types import ConfigurationApplied, HealthPathChanged
 from limelever.subscriber.notices import PublishersListed, PublishersReceived
 from limelever.transport.process import ProcessShell
 from limelever.transport.runner import CoreRunner
@@ -101,9 +101,9 @@
     def handle_proxy_output(self, output: Output) -> None:
         """Use the local proxy's output, so that the agent needs no subscription of its own."""
         match output:
-            case HealthPathKnown(path):
+            case HealthPathChanged(path):
                 self._identify_if_unknown(path)
-            case ConfigurationInForce(version, configuration):
+            case ConfigurationApplied(version, configuration):
                 self._forward(ConfigurationShared(version, configuration))
             case PublishersReceived():
                 self._forward(RelaysShared(output))
