--- a/features/steps/agent_steps.py
+++ b/features/steps/agent_steps.py
@@ -1,14 +1,14 @@
-"""Steps for the calls and the drain of an agent."""
+"""Steps for calls to an agent and for its drain."""
 
 from __future__ import annotations
 
 import random
 
-from agent_bench import (
-    CASES,
-    FAR,
-    PROXY_LINK,
-    AgentBench,
+from agent_harness import (
+    FAR_FUTURE_SECONDS,
+    HYPOTHESIS_SETTINGS,
+    PROXY_CONNECTION,
+    AgentHarness,
     call_start,
 )
 from behave import given, then, when
@@ -56,7 +56,7 @@
 
 @given("an agent of incarnation 7 with {slots:d} slots and a proxy")
 def given_agent(context: Context, slots: int) -> None:
-    context.agent = AgentBench(slots)
+    context.agent = AgentHarness(slots)
     context.agent.add_proxy()
 
 
@@ -72,7 +72,7 @@
 
 
 @when("the agent gets a call on agent stream {stream:d} for incarnation {incarnation:d}")
-def send_foreign(context: Context, stream: int, incarnation: int) -> None:
+def send_for_incarnation(context: Context, stream: int, incarnation: int) -> None:
     context.agent.send(call_start(stream, agent_incarnation=incarnation))
 
 
@@ -115,29 +115,29 @@
 
 @then("the agent gave credit on agent stream {stream:d}")
 def gave_credit(context: Context, stream: int) -> None:
-    (credit,) = context.agent.sent(PROXY_LINK, CallCredit)
+    (credit,) = context.agent.sent(PROXY_CONNECTION, CallCredit)
     assert credit.stream == stream
     assert credit.bytes > 0
 
 
 @then("the agent gave no credit")
 def gave_no_credit(context: Context) -> None:
-    assert context.agent.sent(PROXY_LINK, CallCredit) == []
+    assert context.agent.sent(PROXY_CONNECTION, CallCredit) == []
 
 
-@when("the agent hears a cancel of agent stream {stream:d}")
+@when("the proxy sends a cancel for agent stream {stream:d}")
 def send_cancel(context: Context, stream: int) -> None:
     context.agent.send(CallCancel(stream=stream))
 
 
-@when("the agent hears a cancel unless begun of agent stream {stream:d}")
-def send_cancel_unless_begun(context: Context, stream: int) -> None:
+@when("the proxy sends a cancel for agent stream {stream:d} unless it was started")
+def send_cancel_unless_started(context: Context, stream: int) -> None:
     context.agent.send(CallCancel(stream=stream, unless_begun=True))
 
 
-@when("the agent loses its proxy")
-def lose_proxy(context: Context) -> None:
-    context.agent.tell(ConnectionClosed(PROXY_LINK, "lost"))
+@when("the agent's connection to its proxy closes")
+def close_proxy_connection(context: Context) -> None:
+    context.agent.handle(ConnectionClosed(PROXY_CONNECTION, "lost"))
 
 
 @when("the agent's clock moves to its next call deadline")
@@ -156,8 +156,7 @@
 
 
 @when(
-    "the agent hears of the answer to agent stream {stream:d} before its timer, "
-    "{seconds:d} seconds later"
+    "agent stream {stream:d} is answered {seconds:d} seconds later, before the agent's timer fires"
 )
 def answer_before_timer(context: Context, stream: int, seconds: int) -> None:
     context.agent.now += seconds
@@ -168,44 +167,44 @@
 def answer_bytes(context: Context, stream: int, size: int) -> None:
     attempt = context.agent.attempt_of(stream)
     context.body = random.Random(1).randbytes(size)
-    context.agent.tell(AttemptAnswered(attempt, 200, (), context.body))
+    context.agent.handle(AttemptAnswered(attempt, 200, (), context.body))
 
 
-@when("its attempt fails with {kind:S} and {sent:S} byte sent")
+@when("its attempt fails with {kind:S} and {sent:S} bytes sent")
 def fail_attempt(context: Context, kind: str, sent: str) -> None:
     failure = Failure(ErrorKind(kind), "broken")
-    context.agent.tell(AttemptFailed(context.agent.attempt_of(1), failure, sent == "some"))
+    context.agent.handle(AttemptFailed(context.agent.attempt_of(1), failure, sent == "some"))
 
 
 @then("agent stream {stream:d} has failed with {kind:S}")
 def check_failed(context: Context, stream: int, kind: str) -> None:
-    failed = [m for m in context.agent.sent(PROXY_LINK, CallFailed) if m.stream == stream]
+    failed = [m for m in context.agent.sent(PROXY_CONNECTION, CallFailed) if m.stream == stream]
     assert [message.kind for message in failed] == [kind], failed
 
 
-@then("the agent's back end was asked once")
-def check_asked_once(context: Context) -> None:
-    assert len(context.agent.of(StartAttempt)) == 1
+@then("the agent's back end received one request")
+def check_one_request(context: Context) -> None:
+    assert len(context.agent.outputs_of(StartAttempt)) == 1
 
 
-@then("the agent's back end was never asked")
-def check_never_asked(context: Context) -> None:
-    assert not context.agent.of(StartAttempt)
+@then("the agent's back end received no request")
+def check_no_request(context: Context) -> None:
+    assert not context.agent.outputs_of(StartAttempt)
 
 
 @then("the attempt of agent stream {stream:d} is cancelled at the back end")
 @then("only the attempt of agent stream {stream:d} is cancelled")
 def check_cancelled(context: Context, stream: int) -> None:
-    cancelled = [output.attempt for output in context.agent.of(CancelAttempt)]
+    cancelled = [output.attempt for output in context.agent.outputs_of(CancelAttempt)]
     assert cancelled == [context.agent.attempt_of(stream)]
 
 
-@then("its slot is busy until the back end's request has ended")
+@then("its slot is busy until the request to the back end has ended")
 def check_slot(context: Context) -> None:
     agent = context.agent
     assert agent.core.running == 1
     cancelled = Failure(ErrorKind.CANCELLED, "cancelled")
-    agent.tell(AttemptFailed(agent.attempt_of(1), cancelled, True))
+    agent.handle(AttemptFailed(agent.attempt_of(1), cancelled, True))
     assert agent.core.running == 0
 
 
@@ -216,12 +215,12 @@
 
 @then("the attempt of agent stream {stream:d} carries {size:d} bytes")
 def check_body(context: Context, stream: int, size: int) -> None:
-    assert len(context.agent.of(StartAttempt)[stream - 1].body) == size
+    assert len(context.agent.outputs_of(StartAttempt)[stream - 1].body) == size
 
 
 def answer_parts(context: Context) -> list[ResponseStart | ResponseBody]:
-    (first,) = context.agent.sent(PROXY_LINK, ResponseStart)
-    return [first, *context.agent.sent(PROXY_LINK, ResponseBody)]
+    (first,) = context.agent.sent(PROXY_CONNECTION, ResponseStart)
+    return [first, *context.agent.sent(PROXY_CONNECTION, ResponseBody)]
 
 
 def answer_bytes_of(parts: list[ResponseStart | ResponseBody]) -> bytes:
@@ -257,36 +256,36 @@
 
 @then("the agent's drain has not finished")
 def check_not_drained(context: Context) -> None:
-    assert not context.agent.of(DrainFinished)
+    assert not context.agent.outputs_of(DrainFinished)
 
 
-@then("the proxy of agent stream {stream:d} was told when to come back")
-def check_advice(context: Context, stream: int) -> None:
-    failed = [m for m in context.agent.sent(PROXY_LINK, CallFailed) if m.stream == stream]
+@then("the failure of agent stream {stream:d} has a retry-after time")
+def check_retry_after(context: Context, stream: int) -> None:
+    failed = [m for m in context.agent.sent(PROXY_CONNECTION, CallFailed) if m.stream == stream]
     assert failed[0].retry_after_ms > 0
 
 
-@then("any course of calls at the agent keeps its promises")
-def check_promises(_context: Context) -> None:
+@then("any sequence of calls gets one answer each, at most one attempt and a true outcome")
+def check_call_invariants(_context: Context) -> None:
     operation = st.tuples(
         st.sampled_from(["call", "call", "call", "resend", "cancel", "answer", "fail", "wait"]),
         st.integers(0, 30),
         st.booleans(),
     )
 
-    @CASES
+    @HYPOTHESIS_SETTINGS
     @examples(st.lists(operation, max_size=120))
     def run(operations: list[tuple[str, int, bool]]) -> None:
-        course = CallCourse()
+        sequence = CallSequence()
         for name, number, flag in operations:
-            course.step(name, number, flag)
-        course.check()
+            sequence.step(name, number, flag)
+        sequence.check()
 
     run()
 
 
-class CallCourse:
-    """Drives a call service by drawn operations and keeps what it did."""
+class CallSequence:
+    """Runs generated operations on a call service and records its outputs."""
 
     def __init__(self) -> None:
         limits = CallLimits(QueueLimits(slots=2, group_calls=4))
@@ -295,7 +294,7 @@
         self.streams = 0
         self.running: dict[int, int] = {}
         self.started: list[int] = []
-        self.final: dict[int, list[object]] = {}
+        self.final_messages: dict[int, list[object]] = {}
 
     def step(self, name: str, number: int, flag: bool) -> None:
         if flag:
@@ -312,14 +311,18 @@
                 self.call(again)
             case "cancel":
                 stream = next(iter(self.running.values()), 0) if flag else number
-                self.take(self.service.cancel(PROXY_LINK, CallCancel(stream=stream)))
+                self.take(self.service.cancel(PROXY_CONNECTION, CallCancel(stream=stream)))
             case "answer" if self.running:
                 attempt = self.end_one(number)
-                self.take(self.service.answered(AttemptAnswered(attempt, 200, (), b""), self.now))
+                self.take(
+                    self.service.attempt_answered(AttemptAnswered(attempt, 200, (), b""), self.now)
+                )
             case "fail" if self.running:
                 attempt = self.end_one(number)
                 failure = Failure(ErrorKind.CONNECTION_FAILED, "broken")
-                self.take(self.service.failed(AttemptFailed(attempt, failure, True), self.now))
+                self.take(
+                    self.service.attempt_failed(AttemptFailed(attempt, failure, True), self.now)
+                )
             case "wait":
                 self.now += number / 20
 
@@ -329,7 +332,7 @@
         return attempt
 
     def call(self, start: CallStart) -> None:
-        self.take(self.service.start(PROXY_LINK, "proxy-1", start, self.now))
+        self.take(self.service.start(PROXY_CONNECTION, "proxy-1", start, self.now))
 
     def take(self, outputs: list[Output]) -> None:
         for output in outputs:
@@ -340,14 +343,14 @@
             elif isinstance(output, SendMessage):
                 message = output.message
                 assert isinstance(message, CallFailed | ResponseStart)
-                self.final.setdefault(message.stream, []).append(message)
+                self.final_messages.setdefault(message.stream, []).append(message)
 
     def check(self) -> None:
         while self.running:
             self.step("answer", 0, False)
-        self.take(self.service.expire(self.now + FAR))
+        self.take(self.service.expire(self.now + FAR_FUTURE_SECONDS))
         for stream in range(1, self.streams + 1):
-            messages = [m for m in self.final.get(stream, []) if not is_resend_answer(m)]
+            messages = [m for m in self.final_messages.get(stream, []) if not is_resend_answer(m)]
             assert len(messages) == 1, (stream, messages)
             assert self.started.count(stream) <= (0 if any(map(is_not_run, messages)) else 1)
         assert self.service.running == 0 and self.service.waiting == 0
@@ -378,40 +381,40 @@
         agent.send(call_start(stream, group=group, deadline_left_ms=900_000))
     for index in range(rounds):
         agent.now += 0.02
-        agent.tell(AttemptAnswered(agent.attempt_of(index + 1), 200, (), b""))
+        agent.handle(AttemptAnswered(agent.attempt_of(index + 1), 200, (), b""))
 
 
 @then("group {group:S} had about {part:d} of {whole:d} attempts")
-def check_part(context: Context, group: str, part: int, whole: int) -> None:
-    starts = context.agent.of(StartAttempt)
+def check_share_of_attempts(context: Context, group: str, part: int, whole: int) -> None:
+    starts = context.agent.outputs_of(StartAttempt)
     parity = ("web", "batch").index(group)
-    had = sum(1 for start in starts if int(start.target) % 2 == parity)
-    assert abs(had - len(starts) * part / whole) <= 2, (had, len(starts))
+    started = sum(1 for start in starts if int(start.target) % 2 == parity)
+    assert abs(started - len(starts) * part / whole) <= 2, (started, len(starts))
 
 
 @when("the agent is asked to drain")
-def ask_drain(context: Context) -> None:
-    context.agent.tell(DrainRequested())
+def request_drain(context: Context) -> None:
+    context.agent.handle(DrainRequested())
 
 
-@then("the relay hears that the agent is draining")
+@then("the relay is told that the agent is draining")
 def check_draining(context: Context) -> None:
-    last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
+    last = context.agent.sent(context.agent.relay_connection, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_DRAINING
 
 
-@then("the relay hears that the agent is gone")
+@then("the relay is told that the agent is gone")
 def check_gone(context: Context) -> None:
-    last = context.agent.sent(context.agent.relay_link, LeaseRenew)[-1]
+    last = context.agent.sent(context.agent.relay_connection, LeaseRenew)[-1]
     assert last.state == ENDPOINT_STATE_GONE
 
 
 @then("agent stream {stream:d} has its answer")
 def check_answered(context: Context, stream: int) -> None:
-    answered = context.agent.sent(PROXY_LINK, ResponseStart)
+    answered = context.agent.sent(PROXY_CONNECTION, ResponseStart)
     assert [message.stream for message in answered] == [stream]
 
 
-@then("the drain has finished with {count:d} calls cut off")
+@then("the drain has finished with {count:d} calls cancelled")
 def check_drained(context: Context, count: int) -> None:
-    assert [output.cut_off for output in context.agent.of(DrainFinished)] == [count]
+    assert [output.cut_off for output in context.agent.outputs_of(DrainFinished)] == [count]
--- a/features/steps/backend_refusal_steps.py
+++ b/features/steps/backend_refusal_steps.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from agent_bench import PROXY_LINK
+from agent_harness import PROXY_CONNECTION
 from behave import then, when
 from behave.runner import Context
 
@@ -16,11 +16,11 @@
 @when("the back end refuses agent stream {stream:d} without running it")
 def refuse(context: Context, stream: int) -> None:
     attempt = context.agent.attempt_of(stream)
-    context.agent.tell(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
+    context.agent.handle(AttemptFailed(attempt, REFUSED, sent_any_byte=True, refused=True))
 
 
 def retry_ms(context: Context, stream: int) -> int:
-    sent = context.agent.sent(PROXY_LINK, CallFailed)
+    sent = context.agent.sent(PROXY_CONNECTION, CallFailed)
     return next(message.retry_after_ms for message in sent if message.stream == stream)
 
 
--- a/features/steps/registered_agent.py
+++ b/features/steps/scripted_agent.py
@@ -1,4 +1,4 @@
-"""An agent whose registration messages the steps of the relay send by hand."""
+"""An agent without a core: relay steps send its registration messages one by one."""
 
 import itertools
 
@@ -23,8 +23,8 @@
 RENEWAL_INTERVAL = 2.0
 
 
-class Agent:
-    """Registers at a relay and renews when told."""
+class ScriptedAgent:
+    """Registers at a relay and renews its lease on request."""
 
     def __init__(self, mesh, name, incarnation):
         self.mesh, self.name, self.incarnation = mesh, name, incarnation
@@ -64,10 +64,10 @@
         )
         self._send(renewal)
 
-    def tell_crash(self, request, crash):
-        evidence = CrashHistory()
-        evidence.add_crash((SuspectRequest(request, crash - 1),), crash, 0.0)
-        self._send(evidence.update_for((request.request,), 0.0))
+    def report_crash(self, request, crash):
+        history = CrashHistory()
+        history.add_crash((SuspectRequest(request, crash - 1),), crash, 0.0)
+        self._send(history.update_for((request.request,), 0.0))
 
     def _send(self, message):
         self.mesh.network.carry_out(self.name, [SendMessage(self.connection, message)])
--- a/src/limelever/agent/backend_monitor.py
+++ b/src/limelever/agent/backend_monitor.py
@@ -8,11 +8,11 @@
 
 from msgspec import Struct
 
-from limelever.agent.answers import NO_CRASH
+from limelever.agent.call_messages import NO_CRASH
 from limelever.agent.calls import Call
-from limelever.agent.crash_watch import CrashWatch, Finding, HeldCall
-from limelever.agent.interface import AttemptFailed, BackendReach, CheckBackend
-from limelever.agent.silence import BackendSilence
+from limelever.agent.crash_detector import CrashDetector, HeldCall, ProcessState
+from limelever.agent.interface import AttemptFailed, CheckBackend, ConnectResult
+from limelever.agent.liveness import LivenessMonitor
 from limelever.common.deadlines import earliest
 from limelever.common.errors import ErrorKind, Failure
 from limelever.protocol.endpoints_pb2 import CrashNews
@@ -48,15 +48,15 @@
 
     def __init__(self, generator: random.Random) -> None:
         self._generator = generator
-        self._silence = BackendSilence()
-        self._crashes = CrashWatch()
+        self._silence = LivenessMonitor()
+        self._crashes = CrashDetector()
         self._crash_news: list[CrashNews] = []
         self.serves_until = math.inf
 
     @property
     def silent(self) -> bool:
         """Return whether the backend is unresponsive, so that calls go to other instances."""
-        return self._silence.silent
+        return self._silence.unresponsive
 
     @property
     def undecided(self) -> bool:
@@ -65,45 +65,45 @@
 
     def started(self, call: int, service_time: float, now: float) -> None:
         """Record a call sent to the backend; ``service_time`` is 0 if unknown."""
-        self._silence.started(call, service_time, now)
+        self._silence.call_started(call, service_time, now)
 
     def answered(self, call: int) -> None:
         """Record that the backend responded to a call."""
-        self._silence.ended(call, answered=True)
+        self._silence.call_ended(call, answered=True)
 
     def failed(self, event: AttemptFailed, failure: Failure, call: Call, now: float) -> bool:
         """Record a failed call; return whether its proxy has to wait for the reason.
 
         A closed connection may mean that the process ended: :meth:`checked` returns the call then.
         """
-        self._silence.ended(event.attempt, answered=event.refused)
+        self._silence.call_ended(event.attempt, answered=event.refused)
         if event.connection_ended:
-            self._crashes.lost(HeldCall(event.attempt, failure), call.suspected(), now)
+            self._crashes.connection_lost(HeldCall(event.attempt, failure), call.as_suspect(), now)
         elif not event.sent_any_byte and event.failure.kind is ErrorKind.BACKEND_FAILED:
-            self._crashes.not_opened(now)
+            self._crashes.connect_failed(now)
         elif failure.kind in _ENDED_BY_AGENT:
-            self._crashes.given_up(call.suspected(), now)
+            self._crashes.call_abandoned(call.as_suspect(), now)
         return event.connection_ended
 
     def take_check(self, now: float) -> list[CheckBackend]:
         """Return the connection check to make now, if any."""
-        silenced, broken = self._silence.take_check(now), self._crashes.take_check(now)
+        silenced, broken = self._silence.start_check(now), self._crashes.start_check(now)
         return [CheckBackend(close_idle=silenced)] if silenced or broken else []
 
-    def checked(self, reach: BackendReach, running: int, now: float) -> CheckOutcome:
+    def checked(self, reach: ConnectResult, running: int, now: float) -> CheckOutcome:
         """Handle the result of a connection check while ``running`` calls are in progress."""
-        finding = self._crashes.checked(reach, running, now)
-        ended = finding is Finding.ENDED and now < self.serves_until
+        finding = self._crashes.check_finished(reach, running, now)
+        ended = finding is ProcessState.EXITED and now < self.serves_until
         suspects = self._crashes.take_suspects(self._crashes.suspects_since) if ended else ()
         crash = self._report(suspects, now) if suspects else NO_CRASH
-        was_silent = self._silence.silent
+        was_silent = self._silence.unresponsive
         fell_silent = ended and not was_silent and not crash
         if ended:
-            self._silence.process_ended(now)
+            self._silence.process_exited(now)
         if self._silence.checking:
-            fell_silent = self._silence.checked(reach, now) or fell_silent
-        recovered = was_silent and not self._silence.silent
-        held = () if finding is Finding.UNDECIDED else tuple(self._crashes.take_held())
+            fell_silent = self._silence.check_finished(reach, now) or fell_silent
+        recovered = was_silent and not self._silence.unresponsive
+        held = () if finding is ProcessState.UNDECIDED else tuple(self._crashes.take_held())
         return CheckOutcome(held, crash, suspects, fell_silent, recovered)
 
     def replaced(self, now: float) -> None:
--- a/src/limelever/agent/connection_pool.py
+++ b/src/limelever/agent/connection_pool.py
@@ -10,7 +10,7 @@
 import trio
 from msgspec import Struct
 
-from limelever.agent.interface import BackendReach
+from limelever.agent.interface import ConnectResult
 from limelever.agent.settings import BackendSettings
 from limelever.common.errors import ErrorKind, Failure
 from limelever.common.settings import seconds
@@ -92,7 +92,7 @@
         else:
             connection.close()
 
-    async def check_connect(self, timeout: float) -> BackendReach:
+    async def check_connect(self, timeout: float) -> ConnectResult:
         """Return the result of opening a new connection within ``timeout`` seconds.
 
         An opened connection is added to the pool. The result is read from the socket, because
@@ -104,7 +104,7 @@
                 address.host, address.port, type=socket.SOCK_STREAM
             )
         except OSError:
-            return BackendReach.REFUSED
+            return ConnectResult.REFUSED
         family, _, _, _, socket_address = addresses[0]
         sock = socket.socket(family)
         sock.setblocking(False)
@@ -112,7 +112,7 @@
         with trio.move_on_after(timeout):
             await trio.lowlevel.wait_writable(sock)
         reach = _connect_result(sock, connect_errno)
-        if reach is not BackendReach.OPENED:
+        if reach is not ConnectResult.OPENED:
             sock.close()
             return reach
         stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
@@ -147,16 +147,16 @@
         return BackendConnection(stream, self._max_idle)
 
 
-def _connect_result(sock: socket.socket, connect_errno: int) -> BackendReach:
+def _connect_result(sock: socket.socket, connect_errno: int) -> ConnectResult:
     """Return the state of a connection attempt; ``connect_errno`` is the result of connect_ex."""
     refused = connect_errno not in (0, errno.EINPROGRESS)
     if refused or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-        return BackendReach.REFUSED
+        return ConnectResult.REFUSED
     try:
         sock.getpeername()
     except OSError:
-        return BackendReach.SILENT
-    return BackendReach.OPENED
+        return ConnectResult.TIMED_OUT
+    return ConnectResult.OPENED
 
 
 def keep_alive_seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
--- a/src/limelever/agent/response_sender.py
+++ b/src/limelever/agent/response_sender.py
@@ -13,7 +13,7 @@
 from google.protobuf.message import Message
 from msgspec import Struct
 
-from limelever.agent import answers
+from limelever.agent import call_messages
 from limelever.agent.calls import Call
 from limelever.agent.interface import AttemptAnswered
 from limelever.agent.response_pacer import ResponsePacer
@@ -76,14 +76,16 @@
     ) -> list[Output]:
         """Return what may be sent of a response now, and keep the rest."""
         paced = self._pacer.is_paced(len(response.body))
-        body_bytes = 0 if paced else answers.FIRST_PART_BYTES
+        body_bytes = 0 if paced else call_messages.MAX_INLINE_BODY_BYTES
         unsent = memoryview(response.body)[body_bytes:]
         if self._pending_bytes + len(unsent) > self._limit:
             failure = Failure(
                 ErrorKind.BACKEND_FAILED, "too many response bytes pending for proxies"
             )
-            return [SendMessage(call.connection, answers.call_failed(call.start, failure, load))]
-        message = answers.first_part(call.start, response, load, body_bytes)
+            return [
+                SendMessage(call.connection, call_messages.call_failed(call.start, failure, load))
+            ]
+        message = call_messages.response_start(call.start, response, load, body_bytes)
         first = SendMessage(call.connection, message)
         self._pacer.record_sent(HEAD_OVERHEAD_BYTES + len(message.body), now)
         if not unsent:
@@ -95,7 +97,7 @@
             return [first, *self._chunks(pending)]
         pending.pacer_key = call.number
         self._paced[call.number] = pending
-        initial_credit = answers.FIRST_PART_BYTES + INITIAL_WINDOW_BYTES
+        initial_credit = call_messages.MAX_INLINE_BODY_BYTES + INITIAL_WINDOW_BYTES
         self._pacer.add(call.number, len(unsent), initial_credit, call.target)
         return [first]
 
@@ -154,7 +156,7 @@
         return [
             SendMessage(
                 each.connection,
-                answers.call_failed(each.start, failure, load_of(each.start.group)),
+                call_messages.call_failed(each.start, failure, load_of(each.start.group)),
             )
             for each in expired
         ]
--- /dev/null
+++ b/src/limelever/node/agent_supervisor.py
@@ -0,0 +1,243 @@
+"""Starts, drains and ends the agents of a node's instance: one agent for each run of the instance.
+
+``limelever.node.reports`` decides what a report means. When :meth:`AgentSupervisor.handle_report`
+returns for a draining report, the agent accepts no more calls, so the report may be acknowledged.
+"""
+
+from __future__ import annotations
+
+import random
+import secrets
+import time
+from functools import partial
+
+import attrs
+import trio
+from msgspec import Struct
+from msgspec.structs import replace
+
+from limelever.agent.backend_client import BackendClient
+from limelever.agent.core import AgentCore
+from limelever.agent.health_response import InstanceIdentity
+from limelever.agent.interface import (
+    BackendGone,
+    ConfigurationShared,
+    DrainFinished,
+    DrainLimitReached,
+    DrainRequested,
+    RelaysShared,
+    VersionKnown,
+)
+from limelever.agent.process import build_agent_options, with_registration_backoff
+from limelever.agent.settings import AgentSettings
+from limelever.common.errors import ErrorKind, Failure
+from limelever.common.sansio import Address, Event, Output, Purpose, Role
+from limelever.node.reports import InstanceReport, InstanceTracker, ReportOutcome
+from limelever.node.settings import NodeSettings, agent_settings, registration_backoff
+from limelever.proxy.call_types import ConfigurationApplied, HealthPathChanged
+from limelever.subscriber.notices import PublishersListed, PublishersReceived
+from limelever.transport.process import ProcessShell
+from limelever.transport.runner import CoreRunner
+
+_FLUSH_SECONDS = 0.2
+"""Time for the last answers to be sent after the core has finished."""
+
+IDENTIFY_TIMEOUT_SECONDS = 0.3
+"""Timeout of a probe that identifies the instance; the back end may queue it behind calls."""
+
+IDENTIFY_INTERVAL_SECONDS = 0.1
+"""Pause between two such probes; the instance's own report follows within two seconds."""
+
+PROBED_SEQUENCE = -1
+"""Sequence number for an instance found by a probe; each of the instance's own reports is newer."""
+
+_NAME_SUFFIX_BYTES = 4
+_NANOSECONDS_PER_MILLISECOND = 1_000_000
+
+
+class _RunningAgent(Struct):
+    """A running agent; ``finished`` is set once its core has nothing more to do."""
+
+    runner: CoreRunner
+    finished: trio.Event
+    version: str
+
+
+class AgentSupervisor:
+    """Starts, drains and ends agents as the instance starts, drains and ends."""
+
+    def __init__(self, settings: NodeSettings, shell: ProcessShell, nursery: trio.Nursery) -> None:
+        self._settings = settings
+        self._shell = shell
+        self._nursery = nursery
+        self._tracker = InstanceTracker()
+        self._agent: _RunningAgent | None = None
+        self._unfinished: set[trio.Event] = set()
+        self._stopping = False
+        self._identifying = False
+        self._shared_events: dict[type[Event], ConfigurationShared | RelaysShared] = {}
+        shell.reloading.handle("relays", self._relays_changed)
+
+    def handle_report(self, report: InstanceReport) -> Failure | None:
+        """Apply an instance's report; return why it is refused, or ``None``."""
+        if failure := self._refusal(report):
+            return failure
+        match self._tracker.handle_report(report):
+            case ReportOutcome.INSTANCE_STARTED:
+                self._start_agent(report)
+            case ReportOutcome.INSTANCE_DRAINING:
+                self._drain_agent()
+            case ReportOutcome.INSTANCE_ENDED:
+                self._end_agent()
+            case ReportOutcome.NO_CHANGE:
+                self._set_version(report)
+        return None
+
+    def instance_ended(self, instance: str, started_at_ms: int) -> None:
+        """Record that an instance has ended, and drain its agent."""
+        if self._tracker.handle_end(instance, started_at_ms) is ReportOutcome.INSTANCE_DRAINING:
+            self._drain_agent()
+
+    def handle_proxy_output(self, output: Output) -> None:
+        """Use the local proxy's output, so that the agent needs no subscription of its own."""
+        match output:
+            case HealthPathChanged(path):
+                self._identify_if_unknown(path)
+            case ConfigurationApplied(version, configuration):
+                self._forward(ConfigurationShared(version, configuration))
+            case PublishersReceived():
+                self._forward(RelaysShared(output))
+
+    def _forward(self, event: ConfigurationShared | RelaysShared) -> None:
+        self._shared_events[type(event)] = event
+        if self._agent is not None:
+            self._agent.runner.post(event)
+
+    def _identify_if_unknown(self, path: str) -> None:
+        """Probe ``path`` for the instance's identifier until it is known or has been reported.
+
+        Otherwise the instance would be idle after a restart of the node until its next report.
+        """
+        if not self._tracker.instance and not self._identifying:
+            self._identifying = True
+            self._nursery.start_soon(self._identify, path)
+
+    async def stop(self) -> None:
+        """Drain the agent at a planned stop of the node, and wait for all agents to finish."""
+        self._stopping = True
+        self._drain_agent()
+        while self._unfinished:
+            await next(iter(self._unfinished)).wait()
+
+    def abort_calls(self) -> None:
+        """Abort the running calls and notify their proxies, as the process is about to exit."""
+        if self._agent is not None:
+            self._agent.runner.post(DrainLimitReached())
+
+    def _relays_changed(self, relays: tuple[Address, ...]) -> None:
+        self._settings = attrs.evolve(self._settings, relays=relays)
+        if self._agent is not None:
+            self._agent.runner.post(PublishersListed(relays))
+
+    async def _identify(self, path: str) -> None:
+        settings = self._settings
+        header_names = settings.headers.names()
+        backend = BackendClient(settings.backend, self._nursery, lambda _: None, header_names)
+        found: InstanceIdentity | None = None
+        while found is None and not self._tracker.instance and not self._stopping:
+            found = await backend.find_instance(path, IDENTIFY_TIMEOUT_SECONDS)
+            if found is None:
+                await trio.sleep(IDENTIFY_INTERVAL_SECONDS)
+        backend.close()
+        self._identifying = False
+        if found is not None and not self._tracker.instance and not self._stopping:
+            self.handle_report(
+                InstanceReport(found.instance, settings.service, PROBED_SEQUENCE, slots=found.slots)
+            )
+
+    def _refusal(self, report: InstanceReport) -> Failure | None:
+        """Return why a report is refused, or ``None`` if its address and service are accepted."""
+        own_address = self._settings.backend.address
+        if report.address not in (None, own_address):
+            return Failure(
+                ErrorKind.INVALID_REQUEST,
+                f"the address is not that of the instance beside this node, {own_address}",
+            )
+        shared = self._shared_events.get(ConfigurationShared)
+        configured = (
+            shared.configuration.services if isinstance(shared, ConfigurationShared) else ()
+        )
+        if report.service != self._settings.service and report.service not in configured:
+            return Failure(
+                ErrorKind.INVALID_REQUEST, "the service is neither configured nor this node's own"
+            )
+        return None
+
+    def _set_version(self, report: InstanceReport) -> None:
+        """Pass the reported version to an agent whose instance was found by a probe."""
+        agent = self._agent
+        if agent is None or agent.version or not report.version:
+            return
+        if self._tracker.is_active(report.instance, report.started_at_ms):
+            agent.version = report.version
+            agent.runner.post(VersionKnown(report.version, report.warm_up_left))
+
+    def _drain_agent(self) -> None:
+        if self._agent is not None:
+            self._agent.runner.post(DrainRequested())
+
+    def _start_agent(self, report: InstanceReport) -> None:
+        """Start an agent for a new run of the instance, and end the agent of the previous run."""
+        self._end_agent()
+        if self._stopping:
+            return
+        name = f"{report.instance}-{secrets.token_hex(_NAME_SUFFIX_BYTES)}"
+        settings = agent_settings(self._settings, report, name)
+        self._nursery.start_soon(partial(self._run_agent, settings, report))
+
+    def _end_agent(self) -> None:
+        if self._agent is not None:
+            self._agent.runner.post(BackendGone())
+
+    async def _run_agent(self, settings: AgentSettings, report: InstanceReport) -> None:
+        instance, warm_up_left = report.instance, report.warm_up_left
+        incarnation = time.time_ns() // _NANOSECONDS_PER_MILLISECOND
+        options = with_registration_backoff(
+            build_agent_options(settings, self._settings.listen, None),
+            registration_backoff(self._settings),
+        )
+        core = AgentCore(options, incarnation, random.Random())
+        finished = trio.Event()
+        self._unfinished.add(finished)
+
+        def on_output(output: Output) -> None:
+            if isinstance(output, DrainFinished):
+                finished.set()
+            else:
+                backend.carry_out(output)
+
+        listener = self._shell.listener
+        async with trio.open_nursery() as nursery:
+            listener.identity = replace(listener.identity, incarnation=incarnation)
+            runner = self._shell.add_core(core, on_output, accepts=[Purpose.CALLS], role=Role.AGENT)
+            header_names = settings.headers.names()
+            backend = BackendClient(
+                settings.backend, nursery, runner.post, header_names, instance.encode()
+            )
+            agent = self._agent = _RunningAgent(runner, finished, settings.version)
+            await nursery.start(runner.run)
+            if settings.version:
+                runner.post(VersionKnown(settings.version, warm_up_left))
+            for event in self._shared_events.values():
+                runner.post(event)
+            if self._stopping or not self._tracker.is_active(instance, report.started_at_ms):
+                runner.post(DrainRequested())
+            await finished.wait()
+            if listener.runners.get(Purpose.CALLS) is runner:
+                del listener.runners[Purpose.CALLS]
+            await trio.sleep(_FLUSH_SECONDS)
+            backend.close()
+            nursery.cancel_scope.cancel()
+        if self._agent is agent:
+            self._agent = None
+        self._unfinished.discard(finished)
--- a/src/limelever/node/settings.py
+++ b/src/limelever/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the node process, which hosts a proxy and the agent of the back end beside it."""
+"""Settings of the node process, which hosts a proxy and the agent of the instance beside it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import attrs
 
 from limelever.agent.settings import (
-    MOST_SLOTS,
+    MAX_SLOTS,
     AgentSettings,
     BackendSettings,
     DrainSettings,
@@ -42,7 +42,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeSettings(ProcessSettings):
-    """Settings of one node; ``listen`` is where other nodes' proxies reach the agent."""
+    """Settings of one node; proxies of other nodes connect to the agent at ``listen``."""
 
     ROLE: ClassVar[Role] = Role.NODE
     CLASHES: ClassVar[tuple[Clash, ...]] = (
@@ -68,7 +68,7 @@
 
 
 def proxy_settings(settings: NodeSettings) -> ProxySettings:
-    """Return the settings of the proxy within the process."""
+    """Return the settings of the proxy in this process."""
     return ProxySettings(
         role=Role.PROXY,
         name=settings.name,
@@ -88,20 +88,21 @@
     )
 
 
-def dialling_pauses(settings: NodeSettings) -> BackoffSettings:
-    """Return the pauses between the agent's attempts to register at a relay."""
-    longest = seconds(settings.configuration.longest_pause_ms)
-    return SubscriberSettings(settings.relays, longest_pause=longest).dialling
+def registration_backoff(settings: NodeSettings) -> BackoffSettings:
+    """Return the backoff between the agent's attempts to register at a relay."""
+    longest_pause = seconds(settings.configuration.longest_pause_ms)
+    return SubscriberSettings(settings.relays, longest_pause=longest_pause).dialling
 
 
 def agent_settings(settings: NodeSettings, report: InstanceReport, name: str) -> AgentSettings:
-    """Return the settings of an agent for the instance that reported itself.
+    """Return the settings of an agent for an instance, from its report.
 
-    ``name`` names this run of the agent: one that restarts beside the same instance is another
-    endpoint, so that no clock has to tell which of the two is newer. What the instance reports
-    takes the place of probes; of slots, no more than the settings could name are used.
+    ``name`` is unique to this run of the agent. An agent that restarts beside the same instance is
+    a new endpoint, so no clock is needed to tell which of the two is newer. Reports replace health
+    probes, so the agent registers without waiting for one to succeed. The number of slots is capped
+    at the maximum that the settings allow.
     """
-    slots = min(report.slots or settings.backend.slots, MOST_SLOTS)
+    slots = min(report.slots or settings.backend.slots, MAX_SLOTS)
     return AgentSettings(
         role=Role.AGENT,
         name=name,
--- a/src/limelever/proxy/attempt_ends.py
+++ b/src/limelever/proxy/attempt_completion.py
@@ -1,4 +1,4 @@
-"""How attempts end: what the balancer and the endpoint view are told, and what is let go."""
+"""Ends attempts and reports their outcome to the balancer and the endpoint view."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from limelever.proxy.call_types import CallAnswer
 from limelever.proxy.endpoints import EndpointView
 from limelever.proxy.health import Verdict
-from limelever.proxy.moved_bytes import MovedBytes
+from limelever.proxy.transfer_size import TransferSizes
 
 _MICROSECONDS = 1_000_000
 _FAILED_STATUSES = frozenset({500, 502, 504})
 
 
-class AttemptEnds:
-    """Ends attempts and tells the proxy's view of endpoints what they showed."""
+class AttemptCompleter:
+    """Ends attempts, and reports their outcomes and the load of their endpoints."""
 
     def __init__(
         self,
@@ -27,22 +27,22 @@
         view: EndpointView,
         balancer: Balancer,
         assembly: AnswerAssembly,
-        moved: MovedBytes,
+        transfer_sizes: TransferSizes,
         outputs: list[Output],
     ) -> None:
         self._calls = calls
         self._view = view
         self._balancer = balancer
         self._assembly = assembly
-        self._moved = moved
+        self._transfer_sizes = transfer_sizes
         self._outputs = outputs
 
     def succeed(self, call: Call, attempt: Attempt, body: bytes, now: float) -> AttemptEnded:
-        """End an attempt with the back end's whole answer."""
+        """End an attempt with the back end's complete answer."""
         answer = CallAnswer(attempt.status, attempt.headers, body)
         failed = attempt.status in _FAILED_STATUSES
         if not failed:
-            self._moved.observe(call.route.name, len(body))
+            self._transfer_sizes.observe(call.route.name, len(body))
         self.close(call, attempt, Verdict.FAILED if failed else Verdict.SUCCEEDED, now)
         return AttemptEnded(call, answer)
 
@@ -53,7 +53,7 @@
         return AttemptEnded(call, Failure(kind, reason))
 
     def close(self, call: Call, attempt: Attempt, verdict: Verdict, now: float) -> None:
-        """End an attempt: its stream is free, and the balancer hears the verdict."""
+        """End an attempt: release its stream and report the verdict to the balancer."""
         call.attempt = None
         self._assembly.release(attempt)
         if attempt.stream != NOT_SENT:
@@ -69,12 +69,12 @@
             }
             self._outputs.append(LogEvent(events.ENDPOINT_EJECTED, fields))
 
-    def observe(self, call: Call, attempt: Attempt, load: AgentLoad, now: float) -> None:
-        """Take the load that an agent reported with its answer to a call."""
+    def record_load(self, call: Call, attempt: Attempt, load: AgentLoad, now: float) -> None:
+        """Record the load that an agent reported along with its answer to a call."""
         reported = load.in_flight + load.queued
         key = attempt.entry.key
         self._balancer.observe_load(key, reported, now, load.service_us / _MICROSECONDS)
-        self._balancer.observe_pace(key, load.pace_permille, now)
+        self._balancer.observe_slowdown(key, load.pace_permille, now)
         if load.route_service_us:
             seconds = load.route_service_us / _MICROSECONDS
             self._balancer.observe_route(key, call.route.name, seconds)
@@ -82,7 +82,7 @@
             self.retire(attempt)
 
     def retire(self, attempt: Attempt) -> None:
-        """Give no more work to the incarnation of an attempt."""
+        """Send no further work to the incarnation that ran an attempt."""
         key = attempt.entry.key
         if self._view.retire(key, attempt.entry.incarnation):
             fields: dict[str, object] = {"service": key.service, "instance": key.instance}
