--- a/src/limelever/agent/failures.py
+++ b/src/limelever/agent/failures.py
@@ -6,7 +6,7 @@
 
 DRAINING = Failure(ErrorKind.DRAINING, "the instance is draining")
 DRAIN_LIMIT_REACHED = Failure(ErrorKind.BACKEND_FAILED, "cancelled at the drain limit")
-CANCELLED = Failure(ErrorKind.CANCELLED, "cancelled while running")
+CANCELLED = Failure(ErrorKind.CANCELLED, "cancelled while it ran")
 CANCELLED_BEFORE_START = Failure(ErrorKind.DEADLINE_TOO_SHORT, "cancelled before it was started")
 BACKEND_CRASHED = Failure(ErrorKind.BACKEND_CRASHED, "the back end process exited")
 BACKEND_UNRESPONSIVE = Failure(ErrorKind.CONNECTION_FAILED, "the back end does not answer")
